--- a/src/main/kotlin/io/otterknot/fleet/DemandWindow.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/DemandWindow.kt
@@ -1,4 +1,4 @@
-package io.otterknot.fleet
+package io.otterknot.autoscaling
 
 /**
  * Demand over the last while. What must be there in advance is the demand that was not passed for a given share of
--- a/src/main/kotlin/io/otterknot/fleet/Fleet.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/Fleet.kt
@@ -1,11 +1,11 @@
-package io.otterknot.fleet
+package io.otterknot.autoscaling
 
 import io.otterknot.cloud.CloudClient
 import io.otterknot.cloud.RentOutcome
-import io.otterknot.ownership.Ownership
-import io.otterknot.placement.Aims
-import io.otterknot.placement.Machine
-import io.otterknot.placement.Partition
+import io.otterknot.leadership.Ownership
+import io.otterknot.partition.Partition
+import io.otterknot.scheduling.Aims
+import io.otterknot.scheduling.Machine
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.ListedMachine
 import io.otterknot.wire.MachineType
--- a/src/main/kotlin/io/otterknot/fleet/ListedMachines.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ListedMachines.kt
@@ -1,6 +1,6 @@
-package io.otterknot.fleet
+package io.otterknot.autoscaling
 
-import io.otterknot.placement.Partition
+import io.otterknot.partition.Partition
 import io.otterknot.wire.ListedMachine
 import io.otterknot.wire.MachineType
 
--- a/src/main/kotlin/io/otterknot/fleet/MachineCatalog.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/MachineCatalog.kt
@@ -1,4 +1,4 @@
-package io.otterknot.fleet
+package io.otterknot.autoscaling
 
 import io.otterknot.cloud.CloudClient
 import io.otterknot.wire.JobSpec
--- a/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
+++ b/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
@@ -6,7 +6,7 @@
 import io.otterknot.http.HttpClient
 import io.otterknot.http.HttpResponse
 import io.otterknot.http.HttpServer
-import io.otterknot.state.Figures
+import io.otterknot.metrics.Figures
 import io.otterknot.wire.MAX_BODY_BYTES
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
--- a/src/main/kotlin/io/otterknot/cloud/CloudClient.kt
+++ b/src/main/kotlin/io/otterknot/cloud/CloudClient.kt
@@ -2,7 +2,7 @@
 
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
-import io.otterknot.state.RateBudget
+import io.otterknot.ratelimit.RateBudget
 import io.otterknot.wire.ListedMachine
 import io.otterknot.wire.MachineList
 import io.otterknot.wire.MachineNames
--- a/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
+++ b/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
@@ -1,14 +1,14 @@
 package io.otterknot.controller
 
-import io.otterknot.placement.Partition
-import io.otterknot.placement.PartitionJob
-import io.otterknot.state.DoneRecord
-import io.otterknot.state.JobTable
-import io.otterknot.state.Keys
-import io.otterknot.state.PendingWrite
-import io.otterknot.state.TaskBits
-import io.otterknot.state.WriteLimits
-import io.otterknot.state.encodeRecord
+import io.otterknot.jobs.JobTable
+import io.otterknot.partition.Partition
+import io.otterknot.records.DoneRecord
+import io.otterknot.records.Keys
+import io.otterknot.records.TaskBits
+import io.otterknot.records.encodeRecord
+import io.otterknot.scheduling.PartitionJob
+import io.otterknot.store.PendingWrite
+import io.otterknot.store.WriteLimits
 import java.util.BitSet
 
 /**
--- a/src/main/kotlin/io/otterknot/controller/JobFinisher.kt
+++ b/src/main/kotlin/io/otterknot/controller/JobFinisher.kt
@@ -1,15 +1,15 @@
 package io.otterknot.controller
 
-import io.otterknot.ownership.Ownership
-import io.otterknot.state.GuardedChange
-import io.otterknot.state.Job
-import io.otterknot.state.JobTable
-import io.otterknot.state.JobTransitions
-import io.otterknot.state.RateBudget
-import io.otterknot.state.Replica
-import io.otterknot.state.StateClient
-import io.otterknot.state.TxnOutcome
-import io.otterknot.state.WriteLimits
+import io.otterknot.jobs.Job
+import io.otterknot.jobs.JobTable
+import io.otterknot.jobs.JobTransitions
+import io.otterknot.leadership.Ownership
+import io.otterknot.ratelimit.RateBudget
+import io.otterknot.store.GuardedChange
+import io.otterknot.store.Replica
+import io.otterknot.store.StateClient
+import io.otterknot.store.TxnOutcome
+import io.otterknot.store.WriteLimits
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
+++ b/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
@@ -1,13 +1,13 @@
 package io.otterknot.controller
 
-import io.otterknot.state.GuardedChange
-import io.otterknot.state.Keys
-import io.otterknot.state.RateBudget
-import io.otterknot.state.Replica
-import io.otterknot.state.StateClient
-import io.otterknot.state.WriteLimits
-import io.otterknot.state.decodeRecord
-import io.otterknot.state.encodeRecord
+import io.otterknot.ratelimit.RateBudget
+import io.otterknot.records.Keys
+import io.otterknot.records.decodeRecord
+import io.otterknot.records.encodeRecord
+import io.otterknot.store.GuardedChange
+import io.otterknot.store.Replica
+import io.otterknot.store.StateClient
+import io.otterknot.store.WriteLimits
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.MachineTypes
 import org.slf4j.LoggerFactory
--- a/src/main/kotlin/io/otterknot/controller/PartitionRecorder.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionRecorder.kt
@@ -1,19 +1,19 @@
 package io.otterknot.controller
 
-import io.otterknot.ownership.Ownership
-import io.otterknot.placement.Partition
-import io.otterknot.state.Keys
-import io.otterknot.state.MachinesRecord
-import io.otterknot.state.MeanRecord
-import io.otterknot.state.PendingWrite
-import io.otterknot.state.PressureRecord
-import io.otterknot.state.Replica
-import io.otterknot.state.Segments
-import io.otterknot.state.TeamPressureRecord
-import io.otterknot.state.WriteLimits
-import io.otterknot.state.Writer
-import io.otterknot.state.decodeRecord
-import io.otterknot.state.encodeRecord
+import io.otterknot.leadership.Ownership
+import io.otterknot.partition.Partition
+import io.otterknot.records.Keys
+import io.otterknot.records.MachinesRecord
+import io.otterknot.records.MeanRecord
+import io.otterknot.records.PressureRecord
+import io.otterknot.records.Segments
+import io.otterknot.records.TeamPressureRecord
+import io.otterknot.records.decodeRecord
+import io.otterknot.records.encodeRecord
+import io.otterknot.store.PendingWrite
+import io.otterknot.store.Replica
+import io.otterknot.store.WriteLimits
+import io.otterknot.store.Writer
 import kotlinx.coroutines.delay
 import kotlin.math.abs
 
--- a/src/main/kotlin/io/otterknot/controller/RegisteredMachines.kt
+++ b/src/main/kotlin/io/otterknot/controller/RegisteredMachines.kt
@@ -1,6 +1,6 @@
 package io.otterknot.controller
 
-import io.otterknot.state.Replica
+import io.otterknot.store.Replica
 
 /** The machines that may hold tasks of each partition, with their types, as the replica has them. */
 class RegisteredMachines(private val replica: Replica) {
--- a/src/main/kotlin/io/otterknot/controller/ReplicaDispatcher.kt
+++ b/src/main/kotlin/io/otterknot/controller/ReplicaDispatcher.kt
@@ -1,16 +1,16 @@
 package io.otterknot.controller
 
-import io.otterknot.fleet.MachineCatalog
-import io.otterknot.ownership.Allotments
-import io.otterknot.ownership.Ownership
-import io.otterknot.placement.Partition
-import io.otterknot.placement.PartitionView
-import io.otterknot.state.Entry
-import io.otterknot.state.Job
-import io.otterknot.state.JobTable
-import io.otterknot.state.Keys
-import io.otterknot.state.MeanRecord
-import io.otterknot.state.decodeRecord
+import io.otterknot.autoscaling.MachineCatalog
+import io.otterknot.jobs.Job
+import io.otterknot.jobs.JobTable
+import io.otterknot.leadership.Ownership
+import io.otterknot.partition.Partition
+import io.otterknot.quota.Allotments
+import io.otterknot.records.Keys
+import io.otterknot.records.MeanRecord
+import io.otterknot.records.decodeRecord
+import io.otterknot.scheduling.PartitionView
+import io.otterknot.store.Entry
 import io.otterknot.wire.MachineTypes
 
 /** Tells each change of the replica to what depends on it. */
--- a/src/main/kotlin/io/otterknot/controller/RequestRouter.kt
+++ b/src/main/kotlin/io/otterknot/controller/RequestRouter.kt
@@ -1,9 +1,9 @@
 package io.otterknot.controller
 
 import io.otterknot.api.UserApi
+import io.otterknot.heartbeat.ReportEndpoint
 import io.otterknot.http.HttpRequest
 import io.otterknot.http.HttpResponse
-import io.otterknot.workers.ReportEndpoint
 
 /** Hands a request of a user, a worker or the load balancer to what answers it, by path and method. */
 class RequestRouter(private val users: UserApi, private val reports: ReportEndpoint) {
--- a/src/main/kotlin/io/otterknot/workers/ReportEndpoint.kt
+++ b/src/main/kotlin/io/otterknot/heartbeat/ReportEndpoint.kt
@@ -1,9 +1,9 @@
-package io.otterknot.workers
+package io.otterknot.heartbeat
 
 import io.otterknot.http.HttpResponse
-import io.otterknot.ownership.Ownership
-import io.otterknot.placement.Partition
-import io.otterknot.placement.ReportDecision
+import io.otterknot.leadership.Ownership
+import io.otterknot.partition.Partition
+import io.otterknot.partition.ReportDecision
 import io.otterknot.wire.Commands
 import io.otterknot.wire.Malformed
 import io.otterknot.wire.Redirect
--- a/src/main/kotlin/io/otterknot/state/JobTable.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTable.kt
@@ -1,5 +1,14 @@
-package io.otterknot.state
-
+package io.otterknot.jobs
+
+import io.otterknot.records.AwaitsRecord
+import io.otterknot.records.DoneRecord
+import io.otterknot.records.Final
+import io.otterknot.records.JobRecord
+import io.otterknot.records.Keys
+import io.otterknot.records.TaskBits
+import io.otterknot.records.decodeRecord
+import io.otterknot.store.Entry
+import io.otterknot.store.Snapshot
 import io.otterknot.wire.JobSpec
 import org.slf4j.LoggerFactory
 import java.util.BitSet
--- a/src/main/kotlin/io/otterknot/state/JobTransitions.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
@@ -1,5 +1,15 @@
-package io.otterknot.state
+package io.otterknot.jobs
 
+import io.otterknot.records.AwaitsRecord
+import io.otterknot.records.Final
+import io.otterknot.records.JobRecord
+import io.otterknot.records.Keys
+import io.otterknot.records.Spans
+import io.otterknot.records.encodeRecord
+import io.otterknot.store.GuardedChange
+import io.otterknot.store.Snapshot
+import io.otterknot.store.WriteLimits
+import io.otterknot.store.valueBytes
 import kotlinx.serialization.json.JsonElement
 import java.util.BitSet
 
--- a/src/main/kotlin/io/otterknot/state/Pipelines.kt
+++ b/src/main/kotlin/io/otterknot/jobs/Pipelines.kt
@@ -1,5 +1,6 @@
-package io.otterknot.state
+package io.otterknot.jobs
 
+import io.otterknot.records.Final
 import io.otterknot.wire.Priority
 
 /** What a job awaits, and the urgency that it inherits from the jobs that await it. */
--- a/src/main/kotlin/io/otterknot/ownership/Fence.kt
+++ b/src/main/kotlin/io/otterknot/leadership/Fence.kt
@@ -1,4 +1,4 @@
-package io.otterknot.ownership
+package io.otterknot.leadership
 
 /**
  * Until when this node may act as an owner, by its own steady clock. It counts from the moment a good renewal was
--- a/src/main/kotlin/io/otterknot/ownership/MisdirectedWorkers.kt
+++ b/src/main/kotlin/io/otterknot/leadership/MisdirectedWorkers.kt
@@ -1,4 +1,4 @@
-package io.otterknot.ownership
+package io.otterknot.leadership
 
 /**
  * Machines that come here although another node owns their partition. A registered one has been with its owner, and
--- a/src/main/kotlin/io/otterknot/ownership/OverrideMarks.kt
+++ b/src/main/kotlin/io/otterknot/leadership/OverrideMarks.kt
@@ -1,4 +1,4 @@
-package io.otterknot.ownership
+package io.otterknot.leadership
 
 /**
  * The marks that some partition was claimed from an owner which may still act, and until when it may: its fence was
--- a/src/main/kotlin/io/otterknot/ownership/OwnerMonitor.kt
+++ b/src/main/kotlin/io/otterknot/leadership/OwnerMonitor.kt
@@ -1,4 +1,4 @@
-package io.otterknot.ownership
+package io.otterknot.leadership
 
 import kotlin.math.ceil
 import kotlin.random.Random
--- a/src/main/kotlin/io/otterknot/ownership/OwnerTxn.kt
+++ b/src/main/kotlin/io/otterknot/leadership/OwnerTxn.kt
@@ -1,12 +1,12 @@
-package io.otterknot.ownership
+package io.otterknot.leadership
 
-import io.otterknot.placement.Partition
-import io.otterknot.state.GuardedChange
-import io.otterknot.state.Keys
-import io.otterknot.state.Replica
-import io.otterknot.state.StateClient
-import io.otterknot.state.TxnOutcome
-import io.otterknot.state.WriteLimits
+import io.otterknot.partition.Partition
+import io.otterknot.records.Keys
+import io.otterknot.store.GuardedChange
+import io.otterknot.store.Replica
+import io.otterknot.store.StateClient
+import io.otterknot.store.TxnOutcome
+import io.otterknot.store.WriteLimits
 import io.otterknot.wire.Guard
 import kotlinx.coroutines.delay
 import kotlin.random.Random
--- a/src/main/kotlin/io/otterknot/ownership/Ownership.kt
+++ b/src/main/kotlin/io/otterknot/leadership/Ownership.kt
@@ -1,15 +1,15 @@
-package io.otterknot.ownership
-
-import io.otterknot.state.GuardedChange
-import io.otterknot.state.Keys
-import io.otterknot.state.PartitionRecord
-import io.otterknot.state.RenewOutcome
-import io.otterknot.state.Replica
-import io.otterknot.state.Snapshot
-import io.otterknot.state.StateClient
-import io.otterknot.state.TxnOutcome
-import io.otterknot.state.decodeRecord
-import io.otterknot.state.encodeRecord
+package io.otterknot.leadership
+
+import io.otterknot.records.Keys
+import io.otterknot.records.PartitionRecord
+import io.otterknot.records.decodeRecord
+import io.otterknot.records.encodeRecord
+import io.otterknot.store.GuardedChange
+import io.otterknot.store.RenewOutcome
+import io.otterknot.store.Replica
+import io.otterknot.store.Snapshot
+import io.otterknot.store.StateClient
+import io.otterknot.store.TxnOutcome
 import io.otterknot.wire.Guard
 import kotlinx.coroutines.delay
 import kotlinx.serialization.json.JsonPrimitive
--- a/src/main/kotlin/io/otterknot/state/Figures.kt
+++ b/src/main/kotlin/io/otterknot/metrics/Figures.kt
@@ -1,4 +1,4 @@
-package io.otterknot.state
+package io.otterknot.metrics
 
 import org.HdrHistogram.Histogram
 import org.agrona.collections.Object2LongCounterMap
--- a/src/main/kotlin/io/otterknot/placement/AttemptLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/AttemptLedger.kt
@@ -1,4 +1,9 @@
-package io.otterknot.placement
+package io.otterknot.partition
+
+import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.Machine
+import io.otterknot.scheduling.PartitionJob
+import io.otterknot.scheduling.Phase
 
 /**
  * Books attempts on machines, jobs and teams, and takes them off again. [onWaiting] is told when a task waits once more.
--- a/src/main/kotlin/io/otterknot/placement/Dense.kt
+++ b/src/main/kotlin/io/otterknot/partition/Dense.kt
@@ -1,4 +1,4 @@
-package io.otterknot.placement
+package io.otterknot.partition
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
--- a/src/main/kotlin/io/otterknot/placement/FetchTimes.kt
+++ b/src/main/kotlin/io/otterknot/partition/FetchTimes.kt
@@ -1,5 +1,7 @@
-package io.otterknot.placement
+package io.otterknot.partition
 
+import io.otterknot.scheduling.Machine
+import io.otterknot.scheduling.Phase
 import io.otterknot.wire.JobSpec
 
 /** How long images take to fetch in a partition, against what the cloud says of its machines. */
--- a/src/main/kotlin/io/otterknot/placement/LastSeen.kt
+++ b/src/main/kotlin/io/otterknot/partition/LastSeen.kt
@@ -1,4 +1,4 @@
-package io.otterknot.placement
+package io.otterknot.partition
 
 import io.otterknot.wire.Report
 
--- a/src/main/kotlin/io/otterknot/placement/MachineHealth.kt
+++ b/src/main/kotlin/io/otterknot/partition/MachineHealth.kt
@@ -1,4 +1,6 @@
-package io.otterknot.placement
+package io.otterknot.partition
+
+import io.otterknot.scheduling.Machine
 
 /**
  * Which machines of a partition do nothing any more and hold others up, so that they are to be given back: the cloud's
--- a/src/main/kotlin/io/otterknot/placement/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -1,7 +1,16 @@
-package io.otterknot.placement
-
-import io.otterknot.state.Amount
-import io.otterknot.state.Job
+package io.otterknot.partition
+
+import io.otterknot.jobs.Job
+import io.otterknot.records.Amount
+import io.otterknot.scheduling.Aims
+import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.ImageCounts
+import io.otterknot.scheduling.Ledger
+import io.otterknot.scheduling.Machine
+import io.otterknot.scheduling.PartitionJob
+import io.otterknot.scheduling.Phase
+import io.otterknot.scheduling.Resources
+import io.otterknot.scheduling.Scheduler
 import io.otterknot.wire.Command
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.Report
--- a/src/main/kotlin/io/otterknot/placement/PartitionLoad.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionLoad.kt
@@ -1,5 +1,9 @@
-package io.otterknot.placement
+package io.otterknot.partition
 
+import io.otterknot.scheduling.Machine
+import io.otterknot.scheduling.PartitionJob
+import io.otterknot.scheduling.Phase
+import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 
 /** What a partition has, what is asked of it, and the mean of its loads as others are told. */
--- a/src/main/kotlin/io/otterknot/placement/ReportReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/ReportReconciler.kt
@@ -1,5 +1,9 @@
-package io.otterknot.placement
+package io.otterknot.partition
 
+import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.Machine
+import io.otterknot.scheduling.PartitionJob
+import io.otterknot.scheduling.Phase
 import io.otterknot.wire.Command
 import io.otterknot.wire.ExitCause
 import io.otterknot.wire.TaskName
--- a/src/main/kotlin/io/otterknot/placement/SlowTaskDetector.kt
+++ b/src/main/kotlin/io/otterknot/partition/SlowTaskDetector.kt
@@ -1,5 +1,8 @@
-package io.otterknot.placement
+package io.otterknot.partition
 
+import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.Machine
+import io.otterknot.scheduling.Phase
 import org.slf4j.LoggerFactory
 
 /** Finds machines that run their tasks far slower than others, and tasks that run far longer than their like. */
--- a/src/main/kotlin/io/otterknot/placement/TeamLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/TeamLedger.kt
@@ -1,6 +1,9 @@
-package io.otterknot.placement
+package io.otterknot.partition
 
-import io.otterknot.state.Amount
+import io.otterknot.records.Amount
+import io.otterknot.scheduling.Machine
+import io.otterknot.scheduling.PartitionJob
+import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
--- a/src/main/kotlin/io/otterknot/placement/UnreconciledMachines.kt
+++ b/src/main/kotlin/io/otterknot/partition/UnreconciledMachines.kt
@@ -1,6 +1,6 @@
-package io.otterknot.placement
+package io.otterknot.partition
 
-import io.otterknot.state.Amount
+import io.otterknot.records.Amount
 import io.otterknot.wire.MachineType
 
 /** Machines of which all counts as used since it is not known what is on them, with their types. */
--- a/src/main/kotlin/io/otterknot/placement/WaitingWork.kt
+++ b/src/main/kotlin/io/otterknot/partition/WaitingWork.kt
@@ -1,5 +1,7 @@
-package io.otterknot.placement
+package io.otterknot.partition
 
+import io.otterknot.scheduling.PartitionJob
+import io.otterknot.scheduling.Resources
 import java.util.TreeSet
 
 /** What waits of one team in a partition. */
--- a/src/main/kotlin/io/otterknot/peer/Announcer.kt
+++ b/src/main/kotlin/io/otterknot/peer/Announcer.kt
@@ -1,6 +1,6 @@
 package io.otterknot.peer
 
-import io.otterknot.placement.Partition
+import io.otterknot.partition.Partition
 import kotlinx.coroutines.delay
 import kotlin.random.Random
 
--- a/src/main/kotlin/io/otterknot/peer/IdlePartitions.kt
+++ b/src/main/kotlin/io/otterknot/peer/IdlePartitions.kt
@@ -1,6 +1,6 @@
 package io.otterknot.peer
 
-import io.otterknot.placement.PartitionView
+import io.otterknot.scheduling.PartitionView
 import kotlin.random.Random
 
 /** The partitions with idle machines that this node has been told of. */
--- a/src/main/kotlin/io/otterknot/peer/PeerLink.kt
+++ b/src/main/kotlin/io/otterknot/peer/PeerLink.kt
@@ -5,7 +5,7 @@
 import io.otterknot.net.EventLoop
 import io.otterknot.net.TcpConnection
 import io.otterknot.net.TcpListener
-import io.otterknot.state.Relay
+import io.otterknot.store.Relay
 import io.otterknot.wire.Malformed
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CoroutineScope
--- a/src/main/kotlin/io/otterknot/state/RateBudget.kt
+++ b/src/main/kotlin/io/otterknot/ratelimit/RateBudget.kt
@@ -1,4 +1,4 @@
-package io.otterknot.state
+package io.otterknot.ratelimit
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.sync.Mutex
--- a/src/main/kotlin/io/otterknot/ownership/Handover.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/Handover.kt
@@ -1,8 +1,9 @@
-package io.otterknot.ownership
+package io.otterknot.reassignment
 
-import io.otterknot.placement.LongWait
-import io.otterknot.placement.Partition
-import io.otterknot.placement.PartitionView
+import io.otterknot.leadership.Ownership
+import io.otterknot.partition.Partition
+import io.otterknot.scheduling.LongWait
+import io.otterknot.scheduling.PartitionView
 import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.delay
 import kotlin.random.Random
--- a/src/main/kotlin/io/otterknot/ownership/TaskTransfer.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/TaskTransfer.kt
@@ -1,9 +1,10 @@
-package io.otterknot.ownership
+package io.otterknot.reassignment
 
-import io.otterknot.placement.Partition
-import io.otterknot.placement.PartitionJob
-import io.otterknot.state.JobTransitions
-import io.otterknot.state.WriteLimits
+import io.otterknot.jobs.JobTransitions
+import io.otterknot.leadership.OwnerTxn
+import io.otterknot.partition.Partition
+import io.otterknot.scheduling.PartitionJob
+import io.otterknot.store.WriteLimits
 import org.slf4j.LoggerFactory
 import java.util.BitSet
 
--- a/src/main/kotlin/io/otterknot/rebalance/GuaranteeCover.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/GuaranteeCover.kt
@@ -1,8 +1,8 @@
 package io.otterknot.rebalance
 
 import io.otterknot.config.TeamFacts
-import io.otterknot.state.Amount
-import io.otterknot.state.Job
+import io.otterknot.jobs.Job
+import io.otterknot.records.Amount
 import io.otterknot.wire.Priority
 
 /** What one team's unfinished job takes of its guarantee. */
--- a/src/main/kotlin/io/otterknot/rebalance/GuaranteePlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/GuaranteePlanner.kt
@@ -1,7 +1,7 @@
 package io.otterknot.rebalance
 
 import io.otterknot.config.LoadSpreadSettings
-import io.otterknot.placement.Resources
+import io.otterknot.scheduling.Resources
 
 /**
  * Decides which running tasks are stopped so that a team gets its guarantee. Only work of teams that use more than
--- a/src/main/kotlin/io/otterknot/rebalance/HandOverPlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/HandOverPlanner.kt
@@ -1,7 +1,7 @@
 package io.otterknot.rebalance
 
 import io.otterknot.config.LoadSpreadSettings
-import io.otterknot.placement.LongWait
+import io.otterknot.scheduling.LongWait
 
 /**
  * Decides which waiting tasks go to which partition. A task goes where it is expected to begin sooner, its image and the
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
@@ -3,11 +3,11 @@
 import io.otterknot.config.LoadSpreadMode
 import io.otterknot.config.LoadSpreadSettings
 import io.otterknot.config.TeamFacts
-import io.otterknot.ownership.TaskTransfer
-import io.otterknot.placement.Partition
-import io.otterknot.placement.PartitionView
-import io.otterknot.state.Job
-import io.otterknot.state.PressureRecord
+import io.otterknot.jobs.Job
+import io.otterknot.partition.Partition
+import io.otterknot.reassignment.TaskTransfer
+import io.otterknot.records.PressureRecord
+import io.otterknot.scheduling.PartitionView
 import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.coroutineScope
--- a/src/main/kotlin/io/otterknot/rebalance/MoveHistory.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveHistory.kt
@@ -1,7 +1,7 @@
 package io.otterknot.rebalance
 
-import io.otterknot.placement.Partition
-import io.otterknot.placement.PartitionJob
+import io.otterknot.partition.Partition
+import io.otterknot.scheduling.PartitionJob
 
 /**
  * What was moved a while ago in one partition, so that it is not moved again at once: tasks that were stopped, and jobs
--- a/src/main/kotlin/io/otterknot/rebalance/Mover.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/Mover.kt
@@ -1,7 +1,7 @@
 package io.otterknot.rebalance
 
-import io.otterknot.ownership.TaskTransfer
-import io.otterknot.placement.Partition
+import io.otterknot.partition.Partition
+import io.otterknot.reassignment.TaskTransfer
 
 /**
  * Carries out the moves of one partition and follows them. It keeps nothing durable: stops go out with answers to
--- a/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
@@ -1,8 +1,8 @@
 package io.otterknot.rebalance
 
-import io.otterknot.placement.Attempt
-import io.otterknot.placement.Partition
-import io.otterknot.placement.PartitionJob
+import io.otterknot.partition.Partition
+import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.PartitionJob
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
--- a/src/main/kotlin/io/otterknot/rebalance/PartitionDesk.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PartitionDesk.kt
@@ -2,8 +2,8 @@
 
 import io.otterknot.config.LoadSpreadMode
 import io.otterknot.config.LoadSpreadSettings
-import io.otterknot.ownership.TaskTransfer
-import io.otterknot.placement.Partition
+import io.otterknot.partition.Partition
+import io.otterknot.reassignment.TaskTransfer
 import io.otterknot.wire.JobSpec
 import kotlin.random.Random
 
--- a/src/main/kotlin/io/otterknot/rebalance/Pressure.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/Pressure.kt
@@ -1,6 +1,6 @@
 package io.otterknot.rebalance
 
-import io.otterknot.placement.Resources
+import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 
 /** What one team uses of a partition, and what waits of it there. */
--- a/src/main/kotlin/io/otterknot/rebalance/PressureBoard.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PressureBoard.kt
@@ -1,11 +1,11 @@
 package io.otterknot.rebalance
 
 import io.otterknot.config.TeamFacts
-import io.otterknot.placement.Partition
-import io.otterknot.placement.PartitionView
-import io.otterknot.placement.Resources
-import io.otterknot.state.PressureRecord
-import io.otterknot.state.TeamPressureRecord
+import io.otterknot.partition.Partition
+import io.otterknot.records.PressureRecord
+import io.otterknot.records.TeamPressureRecord
+import io.otterknot.scheduling.PartitionView
+import io.otterknot.scheduling.Resources
 
 /**
  * Brings together what presses on each partition: of own partitions from their ledgers, which keep it up as things
--- a/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
@@ -1,12 +1,12 @@
 package io.otterknot.rebalance
 
 import io.otterknot.config.LoadSpreadSettings
-import io.otterknot.placement.Attempt
-import io.otterknot.placement.Machine
-import io.otterknot.placement.Partition
-import io.otterknot.placement.PartitionJob
-import io.otterknot.placement.Phase
-import io.otterknot.placement.Resources
+import io.otterknot.partition.Partition
+import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.Machine
+import io.otterknot.scheduling.PartitionJob
+import io.otterknot.scheduling.Phase
+import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 import kotlin.random.Random
 
--- a/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
@@ -1,9 +1,9 @@
 package io.otterknot.rebalance
 
-import io.otterknot.placement.Machine
-import io.otterknot.placement.Partition
-import io.otterknot.placement.PartitionJob
-import io.otterknot.placement.Phase
+import io.otterknot.partition.Partition
+import io.otterknot.scheduling.Machine
+import io.otterknot.scheduling.PartitionJob
+import io.otterknot.scheduling.Phase
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
--- a/src/main/kotlin/io/otterknot/state/Keys.kt
+++ b/src/main/kotlin/io/otterknot/records/Keys.kt
@@ -1,4 +1,4 @@
-package io.otterknot.state
+package io.otterknot.records
 
 /** The names under which this service keeps its state. */
 object Keys {
--- a/src/main/kotlin/io/otterknot/state/Records.kt
+++ b/src/main/kotlin/io/otterknot/records/Records.kt
@@ -1,4 +1,4 @@
-package io.otterknot.state
+package io.otterknot.records
 
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.WireJson
--- a/src/main/kotlin/io/otterknot/state/Segments.kt
+++ b/src/main/kotlin/io/otterknot/records/Segments.kt
@@ -1,4 +1,4 @@
-package io.otterknot.state
+package io.otterknot.records
 
 /** Many small records under few keys: each change of a key is rationed, whatever it holds. */
 object Segments {
--- a/src/main/kotlin/io/otterknot/placement/ImageCounts.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/ImageCounts.kt
@@ -1,4 +1,4 @@
-package io.otterknot.placement
+package io.otterknot.scheduling
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
--- a/src/main/kotlin/io/otterknot/placement/LongWait.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/LongWait.kt
@@ -1,4 +1,4 @@
-package io.otterknot.placement
+package io.otterknot.scheduling
 
 /** Nothing waits for long while another partition has room, however little the means differ. */
 object LongWait {
--- a/src/main/kotlin/io/otterknot/placement/Machines.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Machines.kt
@@ -1,4 +1,4 @@
-package io.otterknot.placement
+package io.otterknot.scheduling
 
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.MachineType
--- a/src/main/kotlin/io/otterknot/placement/PartitionChooser.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
@@ -1,8 +1,8 @@
-package io.otterknot.placement
+package io.otterknot.scheduling
 
-import io.otterknot.state.Amount
-import io.otterknot.state.PressureRecord
-import io.otterknot.state.Span
+import io.otterknot.records.Amount
+import io.otterknot.records.PressureRecord
+import io.otterknot.records.Span
 import io.otterknot.wire.JobSpec
 import kotlin.random.Random
 
--- a/src/main/kotlin/io/otterknot/placement/PartitionJob.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
@@ -1,6 +1,6 @@
-package io.otterknot.placement
+package io.otterknot.scheduling
 
-import io.otterknot.state.Job
+import io.otterknot.jobs.Job
 import io.otterknot.wire.JobSpec
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import java.util.BitSet
--- a/src/main/kotlin/io/otterknot/placement/RunTimes.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/RunTimes.kt
@@ -1,4 +1,4 @@
-package io.otterknot.placement
+package io.otterknot.scheduling
 
 /** The run times of tasks that are alike. */
 class RunTimes {
--- a/src/main/kotlin/io/otterknot/placement/Saqr.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Saqr.kt
@@ -1,4 +1,4 @@
-package io.otterknot.placement
+package io.otterknot.scheduling
 
 import kotlin.random.Random
 
--- a/src/main/kotlin/io/otterknot/state/Replica.kt
+++ b/src/main/kotlin/io/otterknot/store/Replica.kt
@@ -1,5 +1,8 @@
-package io.otterknot.state
+package io.otterknot.store
 
+import io.otterknot.records.Keys
+import io.otterknot.records.MachinesRecord
+import io.otterknot.records.decodeRecord
 import io.otterknot.wire.Change
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.async
--- a/src/main/kotlin/io/otterknot/state/StateClient.kt
+++ b/src/main/kotlin/io/otterknot/store/StateClient.kt
@@ -1,7 +1,9 @@
-package io.otterknot.state
+package io.otterknot.store
 
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
+import io.otterknot.metrics.Figures
+import io.otterknot.ratelimit.RateBudget
 import io.otterknot.wire.Change
 import io.otterknot.wire.Guard
 import io.otterknot.wire.LeaseGrant
--- a/src/main/kotlin/io/otterknot/state/WriteLimits.kt
+++ b/src/main/kotlin/io/otterknot/store/WriteLimits.kt
@@ -1,4 +1,4 @@
-package io.otterknot.state
+package io.otterknot.store
 
 import io.otterknot.wire.Change
 import kotlinx.serialization.json.JsonElement
--- a/src/test/kotlin/io/otterknot/SubmitAnswerTest.kt
+++ b/src/test/kotlin/io/otterknot/api/SubmitAnswerTest.kt
@@ -1,14 +1,17 @@
-package io.otterknot
+package io.otterknot.api
 
-import io.otterknot.api.UserApi
 import io.otterknot.config.TeamFacts
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
-import io.otterknot.placement.PartitionView
-import io.otterknot.state.Final
-import io.otterknot.state.JobRecord
-import io.otterknot.state.Span
-import io.otterknot.state.WriteLimits
+import io.otterknot.records.Final
+import io.otterknot.records.JobRecord
+import io.otterknot.records.Span
+import io.otterknot.scheduling.PartitionView
+import io.otterknot.store.WriteLimits
+import io.otterknot.testing.StateBench
+import io.otterknot.testing.jobChange
+import io.otterknot.testing.smallJob
+import io.otterknot.testing.submissionBody
 import io.otterknot.wire.JobStatus
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.WireJson
--- a/src/test/kotlin/io/otterknot/WithdrawTest.kt
+++ b/src/test/kotlin/io/otterknot/api/WithdrawTest.kt
@@ -1,12 +1,14 @@
-package io.otterknot
+package io.otterknot.api
 
-import io.otterknot.api.UserApi
-import io.otterknot.state.Final
-import io.otterknot.state.JobRecord
-import io.otterknot.state.Keys
-import io.otterknot.state.Span
-import io.otterknot.state.WriteLimits
-import io.otterknot.state.decodeRecord
+import io.otterknot.records.Final
+import io.otterknot.records.JobRecord
+import io.otterknot.records.Keys
+import io.otterknot.records.Span
+import io.otterknot.records.decodeRecord
+import io.otterknot.store.WriteLimits
+import io.otterknot.testing.StateBench
+import io.otterknot.testing.jobChange
+import io.otterknot.testing.smallJob
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.async
 import kotlinx.coroutines.delay
--- a/src/test/kotlin/io/otterknot/ClassFileTest.kt
+++ b/src/test/kotlin/io/otterknot/architecture/ClassFileTest.kt
@@ -1,4 +1,4 @@
-package io.otterknot
+package io.otterknot.architecture
 
 import io.otterknot.controller.Controller
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/io/otterknot/AnswerOrderTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/AnswerOrderTest.kt
@@ -1,5 +1,9 @@
-package io.otterknot
+package io.otterknot.cluster
 
+import io.otterknot.testing.Case
+import io.otterknot.testing.ClusterStandIn
+import io.otterknot.testing.DrawnFault
+import io.otterknot.testing.take
 import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.delay
--- a/src/test/kotlin/io/otterknot/LoadSpreadClusterTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/LoadSpreadClusterTest.kt
@@ -1,4 +1,4 @@
-package io.otterknot
+package io.otterknot.cluster
 
 import io.otterknot.config.LoadSpreadMode
 import io.otterknot.config.LoadSpreadSettings
@@ -6,6 +6,9 @@
 import io.otterknot.config.TeamFacts
 import io.otterknot.rebalance.MoveKind
 import io.otterknot.rebalance.MoveState
+import io.otterknot.testing.Case
+import io.otterknot.testing.ClusterStandIn
+import io.otterknot.testing.take
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
--- a/src/test/kotlin/io/otterknot/MeetingTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/MeetingTest.kt
@@ -1,5 +1,9 @@
-package io.otterknot
+package io.otterknot.cluster
 
+import io.otterknot.testing.Case
+import io.otterknot.testing.ClusterStandIn
+import io.otterknot.testing.LEASE_S
+import io.otterknot.testing.take
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
--- a/src/test/kotlin/io/otterknot/OddRequestTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/OddRequestTest.kt
@@ -1,7 +1,8 @@
-package io.otterknot
+package io.otterknot.cluster
 
 import io.otterknot.http.HttpRequest
 import io.otterknot.http.HttpResponse
+import io.otterknot.testing.ClusterStandIn
 import io.otterknot.wire.JobStatus
 import io.otterknot.wire.Refusal
 import io.otterknot.wire.WireJson
--- a/src/test/kotlin/io/otterknot/OperatorSettingsTest.kt
+++ b/src/test/kotlin/io/otterknot/config/OperatorSettingsTest.kt
@@ -1,11 +1,6 @@
-package io.otterknot
+package io.otterknot.config
 
-import io.otterknot.config.BadSettings
-import io.otterknot.config.LoadSpreadMode
-import io.otterknot.config.LoadSpreadSettings
-import io.otterknot.config.OperatorSettings
-import io.otterknot.config.OperatorSettingsFile
-import io.otterknot.config.OperatorSettingsFollower
+import io.otterknot.testing.take
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertThrows
--- a/src/test/kotlin/io/otterknot/HttpLoopTest.kt
+++ b/src/test/kotlin/io/otterknot/http/HttpLoopTest.kt
@@ -1,15 +1,10 @@
-package io.otterknot
+package io.otterknot.http
 
 import io.otterknot.config.HostPort
-import io.otterknot.http.ConnectionLimits
-import io.otterknot.http.HttpClient
-import io.otterknot.http.HttpRequest
-import io.otterknot.http.HttpResponse
-import io.otterknot.http.HttpServer
-import io.otterknot.http.Reply
 import io.otterknot.net.EventLoop
 import io.otterknot.net.TcpConnection
 import io.otterknot.net.TcpListener
+import io.otterknot.testing.take
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.async
--- a/src/test/kotlin/io/otterknot/JobTableTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
@@ -1,16 +1,15 @@
-package io.otterknot
+package io.otterknot.jobs
 
-import io.otterknot.state.DoneRecord
-import io.otterknot.state.Entry
-import io.otterknot.state.Final
-import io.otterknot.state.JobRecord
-import io.otterknot.state.JobTable
-import io.otterknot.state.JobTransitions
-import io.otterknot.state.Keys
-import io.otterknot.state.Span
-import io.otterknot.state.WriteLimits
-import io.otterknot.state.decodeRecord
-import io.otterknot.state.encodeRecord
+import io.otterknot.records.DoneRecord
+import io.otterknot.records.Final
+import io.otterknot.records.JobRecord
+import io.otterknot.records.Keys
+import io.otterknot.records.Span
+import io.otterknot.records.decodeRecord
+import io.otterknot.records.encodeRecord
+import io.otterknot.store.Entry
+import io.otterknot.store.WriteLimits
+import io.otterknot.testing.smallJob
 import kotlinx.serialization.json.JsonElement
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
--- a/src/test/kotlin/io/otterknot/LoopbackSite.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackSite.kt
@@ -1,4 +1,4 @@
-package io.otterknot
+package io.otterknot.load
 
 import io.otterknot.config.HostPort
 import io.otterknot.config.TeamFacts
@@ -7,6 +7,8 @@
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
 import io.otterknot.net.EventLoop
+import io.otterknot.testing.StateStandIn
+import io.otterknot.testing.take
 import io.otterknot.wire.ListedMachine
 import io.otterknot.wire.MAX_BODY_BYTES
 import io.otterknot.wire.MachineList
--- a/src/test/kotlin/io/otterknot/LoopbackWorker.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
@@ -1,8 +1,9 @@
-package io.otterknot
+package io.otterknot.load
 
 import io.otterknot.http.HttpClient
 import io.otterknot.http.Reply
 import io.otterknot.net.EventLoop
+import io.otterknot.testing.take
 import io.otterknot.wire.Command
 import io.otterknot.wire.Commands
 import io.otterknot.wire.JobSpec
--- a/src/test/kotlin/io/otterknot/SurgeLoad.kt
+++ b/src/test/kotlin/io/otterknot/load/SurgeLoad.kt
@@ -1,9 +1,11 @@
-package io.otterknot
+package io.otterknot.load
 
 import io.otterknot.config.TeamFacts
 import io.otterknot.http.HttpClient
 import io.otterknot.http.Reply
 import io.otterknot.net.EventLoop
+import io.otterknot.testing.smallJob
+import io.otterknot.testing.submissionBody
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.CoroutineScope
--- a/src/test/kotlin/io/otterknot/SurgeTable.kt
+++ b/src/test/kotlin/io/otterknot/load/SurgeTable.kt
@@ -1,4 +1,4 @@
-package io.otterknot
+package io.otterknot.load
 
 import org.HdrHistogram.Histogram
 import org.HdrHistogram.HistogramLogReader
--- a/src/test/kotlin/io/otterknot/PartitionTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
@@ -1,15 +1,12 @@
-package io.otterknot
-
-import io.otterknot.placement.Aims
-import io.otterknot.placement.Partition
-import io.otterknot.placement.PartitionTimings
-import io.otterknot.placement.ReportDecision
-import io.otterknot.placement.TeamShare
-import io.otterknot.state.Amount
-import io.otterknot.state.Final
-import io.otterknot.state.Job
-import io.otterknot.state.JobRecord
-import io.otterknot.state.Span
+package io.otterknot.partition
+
+import io.otterknot.jobs.Job
+import io.otterknot.records.Amount
+import io.otterknot.records.Final
+import io.otterknot.records.JobRecord
+import io.otterknot.records.Span
+import io.otterknot.scheduling.Aims
+import io.otterknot.testing.take
 import io.otterknot.wire.Command
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.MachineType
--- a/src/test/kotlin/io/otterknot/LoadSpreadPropertyTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPropertyTest.kt
@@ -1,20 +1,8 @@
-package io.otterknot
+package io.otterknot.rebalance
 
 import io.otterknot.config.LoadSpreadSettings
-import io.otterknot.placement.Resources
-import io.otterknot.rebalance.ClusterPressure
-import io.otterknot.rebalance.FairShares
-import io.otterknot.rebalance.MachineState
-import io.otterknot.rebalance.Move
-import io.otterknot.rebalance.OpenMoves
-import io.otterknot.rebalance.PartitionPressure
-import io.otterknot.rebalance.Planner
-import io.otterknot.rebalance.PlannerSnapshot
-import io.otterknot.rebalance.RunningTask
-import io.otterknot.rebalance.TeamDemand
-import io.otterknot.rebalance.TeamPressure
-import io.otterknot.rebalance.TeamTerms
-import io.otterknot.rebalance.WaitingJob
+import io.otterknot.scheduling.Resources
+import io.otterknot.testing.smallJob
 import io.otterknot.wire.Priority
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
--- a/src/test/kotlin/io/otterknot/MoveReportTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/MoveReportTest.kt
@@ -1,15 +1,5 @@
-package io.otterknot
+package io.otterknot.rebalance
 
-import io.otterknot.rebalance.MoveEvent
-import io.otterknot.rebalance.MoveJournal
-import io.otterknot.rebalance.MoveKind
-import io.otterknot.rebalance.MoveOutcome
-import io.otterknot.rebalance.MoveReason
-import io.otterknot.rebalance.MoveReport
-import io.otterknot.rebalance.MoveState
-import io.otterknot.rebalance.PauseReason
-import io.otterknot.rebalance.RefusalReason
-import io.otterknot.rebalance.WaitCause
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
--- a/src/test/kotlin/io/otterknot/ReplicaTest.kt
+++ b/src/test/kotlin/io/otterknot/store/ReplicaTest.kt
@@ -1,11 +1,12 @@
-package io.otterknot
+package io.otterknot.store
 
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
-import io.otterknot.state.Figures
-import io.otterknot.state.RateBudget
-import io.otterknot.state.Replica
-import io.otterknot.state.StateClient
+import io.otterknot.metrics.Figures
+import io.otterknot.ratelimit.RateBudget
+import io.otterknot.testing.StateBench
+import io.otterknot.testing.StateStandIn
+import io.otterknot.testing.take
 import io.otterknot.wire.Change
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.async
--- a/src/test/kotlin/io/otterknot/StateLinkTest.kt
+++ b/src/test/kotlin/io/otterknot/store/StateLinkTest.kt
@@ -1,13 +1,10 @@
-package io.otterknot
+package io.otterknot.store
 
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
 import io.otterknot.peer.PeerMessage
 import io.otterknot.peer.PeerRelay
 import io.otterknot.peer.PeerTransport
-import io.otterknot.state.Contact
-import io.otterknot.state.Relays
-import io.otterknot.state.StateLink
 import kotlinx.coroutines.test.runTest
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
--- a/src/test/kotlin/io/otterknot/Case.kt
+++ b/src/test/kotlin/io/otterknot/testing/Case.kt
@@ -1,4 +1,4 @@
-package io.otterknot
+package io.otterknot.testing
 
 import io.otterknot.config.OperatorSettings
 import io.otterknot.config.TeamFacts
--- a/src/test/kotlin/io/otterknot/ClusterStandIn.kt
+++ b/src/test/kotlin/io/otterknot/testing/ClusterStandIn.kt
@@ -1,4 +1,4 @@
-package io.otterknot
+package io.otterknot.testing
 
 import io.otterknot.config.CloudFacts
 import io.otterknot.config.Endpoints
@@ -18,9 +18,9 @@
 import io.otterknot.peer.PeerTransport
 import io.otterknot.rebalance.MoveKind
 import io.otterknot.rebalance.MoveState
-import io.otterknot.state.Keys
-import io.otterknot.state.PartitionRecord
-import io.otterknot.state.decodeRecord
+import io.otterknot.records.Keys
+import io.otterknot.records.PartitionRecord
+import io.otterknot.records.decodeRecord
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.CompletableDeferred
--- a/src/test/kotlin/io/otterknot/DrawnFault.kt
+++ b/src/test/kotlin/io/otterknot/testing/DrawnFault.kt
@@ -1,4 +1,4 @@
-package io.otterknot
+package io.otterknot.testing
 
 import kotlinx.coroutines.delay
 import kotlin.random.Random
--- a/src/test/kotlin/io/otterknot/JobUsers.kt
+++ b/src/test/kotlin/io/otterknot/testing/JobUsers.kt
@@ -1,4 +1,4 @@
-package io.otterknot
+package io.otterknot.testing
 
 import io.otterknot.http.HttpResponse
 import io.otterknot.wire.JobSpec
--- a/src/test/kotlin/io/otterknot/RuleChecks.kt
+++ b/src/test/kotlin/io/otterknot/testing/RuleChecks.kt
@@ -1,9 +1,9 @@
-package io.otterknot
+package io.otterknot.testing
 
 import io.otterknot.http.HttpResponse
-import io.otterknot.state.JobRecord
-import io.otterknot.state.Keys
-import io.otterknot.state.decodeRecord
+import io.otterknot.records.JobRecord
+import io.otterknot.records.Keys
+import io.otterknot.records.decodeRecord
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.JobStatus
 import io.otterknot.wire.WireJson
--- a/src/test/kotlin/io/otterknot/StateBench.kt
+++ b/src/test/kotlin/io/otterknot/testing/StateBench.kt
@@ -1,16 +1,16 @@
-package io.otterknot
+package io.otterknot.testing
 
 import io.otterknot.http.Transport
-import io.otterknot.state.Figures
-import io.otterknot.state.Job
-import io.otterknot.state.JobRecord
-import io.otterknot.state.JobTable
-import io.otterknot.state.Keys
-import io.otterknot.state.RateBudget
-import io.otterknot.state.Replica
-import io.otterknot.state.Snapshot
-import io.otterknot.state.StateClient
-import io.otterknot.state.encodeRecord
+import io.otterknot.jobs.Job
+import io.otterknot.jobs.JobTable
+import io.otterknot.metrics.Figures
+import io.otterknot.ratelimit.RateBudget
+import io.otterknot.records.JobRecord
+import io.otterknot.records.Keys
+import io.otterknot.records.encodeRecord
+import io.otterknot.store.Replica
+import io.otterknot.store.Snapshot
+import io.otterknot.store.StateClient
 import io.otterknot.wire.Change
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
--- a/src/test/kotlin/io/otterknot/StateStandIn.kt
+++ b/src/test/kotlin/io/otterknot/testing/StateStandIn.kt
@@ -1,4 +1,4 @@
-package io.otterknot
+package io.otterknot.testing
 
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
--- a/src/test/kotlin/io/otterknot/WireTest.kt
+++ b/src/test/kotlin/io/otterknot/wire/WireTest.kt
@@ -1,10 +1,7 @@
-package io.otterknot
+package io.otterknot.wire
 
 import io.otterknot.peer.PeerCodec
 import io.otterknot.peer.PeerMessage
-import io.otterknot.wire.Malformed
-import io.otterknot.wire.parseReport
-import io.otterknot.wire.parseSubmission
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
