--- a/src/main/kotlin/io/otterknot/api/UserApi.kt
+++ b/src/main/kotlin/io/otterknot/api/JobApi.kt
@@ -1,24 +1,24 @@
 package io.otterknot.api
 
-import io.otterknot.config.TeamFacts
+import io.otterknot.config.TeamSettings
 import io.otterknot.http.HttpResponse
 import io.otterknot.jobs.Job
 import io.otterknot.jobs.JobTable
 import io.otterknot.jobs.JobTransitions
 import io.otterknot.partition.Partition
-import io.otterknot.records.Final
 import io.otterknot.records.JobRecord
+import io.otterknot.records.TerminalState
 import io.otterknot.scheduling.PartitionChooser
 import io.otterknot.scheduling.PartitionView
-import io.otterknot.store.GuardedChange
-import io.otterknot.store.Replica
-import io.otterknot.store.StateClient
-import io.otterknot.store.TxnOutcome
+import io.otterknot.store.CompareAndSwap
+import io.otterknot.store.KeyValueStoreClient
+import io.otterknot.store.StoreReplica
+import io.otterknot.store.TransactionOutcome
 import io.otterknot.store.WriteLimits
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.JobStatus
 import io.otterknot.wire.MachineType
-import io.otterknot.wire.Malformed
+import io.otterknot.wire.MalformedMessageException
 import io.otterknot.wire.WireJson
 import io.otterknot.wire.isJobId
 import io.otterknot.wire.parseSubmission
@@ -29,20 +29,20 @@
 import kotlin.random.Random
 
 /** What users ask: submit, poll, withdraw. */
-class UserApi(
-    private val client: StateClient,
-    private val replica: Replica,
+class JobApi(
+    private val client: KeyValueStoreClient,
+    private val replica: StoreReplica,
     private val jobs: JobTable,
     private val partitions: Map<String, Partition>,
     private val views: () -> List<PartitionView>,
     private val types: () -> List<MachineType>?,
-    private val teams: List<TeamFacts>,
+    private val teams: List<TeamSettings>,
     private val limits: WriteLimits,
     private val isolated: () -> Boolean,
     private val wallMs: () -> Long,
     private val random: Random,
 ) {
-    private val log = LoggerFactory.getLogger(UserApi::class.java)
+    private val log = LoggerFactory.getLogger(JobApi::class.java)
 
     fun ready(): HttpResponse = when {
         !replica.loaded || types() == null -> later("starting")
@@ -56,7 +56,7 @@
         if (!replica.loaded) return later("the jobs have not been read yet")
         val spec = try {
             parseSubmission(body)
-        } catch (e: Malformed) {
+        } catch (e: MalformedMessageException) {
             return refuse(id, 400, e.message.orEmpty())
         }
         val offered = types() ?: return later("the machine types are not known yet")
@@ -88,7 +88,7 @@
             val acceptance = JobTransitions.accept(record, tried) ?: return refuse(spec.id, 400, TOO_LONG)
             if (!client.budget.tryTake(acceptance.size, SUBMIT_WAIT_MS)) return later(TOO_MANY_CHANGES)
             val outcome = client.txn(acceptance)
-            if (outcome !is TxnOutcome.Refused || !outcome.tooLarge) return stored(spec, record, outcome)
+            if (outcome !is TransactionOutcome.Refused || !outcome.tooLarge) return stored(spec, record, outcome)
             // Several values may be refused for their number, which says nothing of what others write.
             if (acceptance.size == 1) limits.refused(acceptance.changes)
             tried = if (acceptance.size == 1) limits else tried.withSmallerValues()
@@ -96,23 +96,24 @@
         return refuse(spec.id, 400, TOO_LONG)
     }
 
-    private suspend fun stored(spec: JobSpec, record: JobRecord, outcome: TxnOutcome): HttpResponse = when (outcome) {
-        is TxnOutcome.Applied -> accepted(spec)
+    private suspend fun stored(spec: JobSpec, record: JobRecord, outcome: TransactionOutcome): HttpResponse =
+        when (outcome) {
+            is TransactionOutcome.Applied -> accepted(spec)
 
-        is TxnOutcome.Conflict -> {
-            val read = replica.reach(outcome.revision, REACH_MS)
-            if (read) current(spec.id, 200) else later("the job is known; its state is being read")
-        }
+            is TransactionOutcome.Conflict -> {
+                val read = replica.reach(outcome.revision, REACH_MS)
+                if (read) current(spec.id, 200) else later("the job is known; its state is being read")
+            }
 
-        is TxnOutcome.Refused -> later(NO_CHANGES)
+            is TransactionOutcome.Refused -> later(NO_CHANGES)
 
-        is TxnOutcome.Unknown -> {
-            // The job may be stored now, later or never: only reading tells. By now it may even have ended.
-            val job = if (replica.upToDate(REACH_MS)) jobs[spec.id] else null
-            val isOurs = job?.record?.nonce == record.nonce
-            if (job == null) later(NO_ANSWER) else tell(job, if (isOurs) 201 else 200)
+            is TransactionOutcome.Unknown -> {
+                // The job may be stored now, later or never: only reading tells. By now it may even have ended.
+                val job = if (replica.upToDate(REACH_MS)) jobs[spec.id] else null
+                val isOurs = job?.record?.nonce == record.nonce
+                if (job == null) later(NO_ANSWER) else tell(job, if (isOurs) 201 else 200)
+            }
         }
-    }
 
     suspend fun poll(id: String): HttpResponse {
         jobs[id]?.let { if (it.outcome != null) return tell(it, 200) }
@@ -134,26 +135,26 @@
     }
 
     /** Sends a cancellation; the answer to its user, or null if the job is to be looked at again. */
-    private suspend fun cancelled(id: String, cancellation: GuardedChange): HttpResponse? {
+    private suspend fun cancelled(id: String, cancellation: CompareAndSwap): HttpResponse? {
         when (val outcome = client.txn(cancellation)) {
-            is TxnOutcome.Applied -> {
+            is TransactionOutcome.Applied -> {
                 replica.reach(outcome.revision, REACH_MS)
                 log.info("{} is cancelled", id)
                 return status(JobStatus(id, "aborted"), 200)
             }
 
-            is TxnOutcome.Conflict -> {
+            is TransactionOutcome.Conflict -> {
                 val read = replica.reach(outcome.revision, REACH_MS)
                 return if (read) null else later("the state service is slow")
             }
 
-            is TxnOutcome.Refused -> {
+            is TransactionOutcome.Refused -> {
                 if (!outcome.tooLarge) return later(NO_CHANGES)
                 limits.refused(cancellation.changes)
                 return null
             }
 
-            is TxnOutcome.Unknown -> return if (replica.upToDate(REACH_MS)) null else later(NO_ANSWER)
+            is TransactionOutcome.Unknown -> return if (replica.upToDate(REACH_MS)) null else later(NO_ANSWER)
         }
     }
 
@@ -166,9 +167,9 @@
     }
 
     private fun tell(job: Job, code: Int): HttpResponse = when (job.outcome) {
-        Final.DONE -> status(JobStatus(job.id, "done", job.record?.tasks, 0), code)
+        TerminalState.DONE -> status(JobStatus(job.id, "done", job.record?.tasks, 0), code)
 
-        Final.CANCELLED -> status(JobStatus(job.id, "aborted"), code)
+        TerminalState.CANCELLED -> status(JobStatus(job.id, "aborted"), code)
 
         null -> {
             val done = job.done.cardinality()
@@ -205,7 +206,7 @@
         null
     }
 
-    private fun done(id: String) = jobs[id]?.final == Final.DONE
+    private fun done(id: String) = jobs[id]?.final == TerminalState.DONE
 
     /**
      * The answer to a submission that was carried out a moment ago: what the replica shows of it, if it does already. A
@@ -213,7 +214,7 @@
      */
     private fun accepted(spec: JobSpec): HttpResponse {
         jobs[spec.id]?.let { return tell(it, 201) }
-        val orphaned = spec.awaits.orEmpty().any { jobs[it]?.outcome == Final.CANCELLED }
+        val orphaned = spec.awaits.orEmpty().any { jobs[it]?.outcome == TerminalState.CANCELLED }
         return status(JobStatus(spec.id, if (orphaned) "aborted" else "queued"), 201)
     }
 
--- a/src/main/kotlin/io/otterknot/autoscaling/Fleet.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/Autoscaler.kt
@@ -1,46 +1,46 @@
 package io.otterknot.autoscaling
 
 import io.otterknot.cloud.CloudClient
-import io.otterknot.cloud.RentOutcome
-import io.otterknot.leadership.Ownership
+import io.otterknot.cloud.ScaleOutResult
+import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.partition.Partition
-import io.otterknot.scheduling.Aims
 import io.otterknot.scheduling.Machine
+import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.ListedMachine
 import io.otterknot.wire.MachineType
-import io.otterknot.wire.RentRequest
+import io.otterknot.wire.ScaleOutRequest
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
 import kotlin.random.Random
 
 /** Rents machines for the partitions this node owns, and gives back what is idle, broken or never came up. */
-class Fleet(
+class Autoscaler(
     private val cloud: CloudClient,
-    private val catalog: MachineCatalog,
-    private val ownership: Ownership,
+    private val catalog: MachineTypeCatalog,
+    private val ownership: PartitionLeadership,
     private val partitions: Map<String, Partition>,
-    private val policy: FleetPolicy,
-    private val aims: Aims,
+    private val policy: ScalingPolicy,
+    private val aims: ServiceLevelObjectives,
     private val reportMs: Long,
     private val leaseMs: Long,
     private val nowMs: () -> Long,
     private val random: Random,
 ) {
-    private val log = LoggerFactory.getLogger(Fleet::class.java)
+    private val log = LoggerFactory.getLogger(Autoscaler::class.java)
 
-    private class Coming(val zone: String, val kind: Kind, val cores: Double, val sinceMs: Long)
+    private class Coming(val zone: String, val kind: MachineKind, val cores: Double, val sinceMs: Long)
 
     /** A request that got no answer: it is repeated, under the same name, until it has one. */
-    private class Open(val request: RentRequest)
+    private class Open(val request: ScaleOutRequest)
 
     private val coming = HashMap<String, Coming>()
-    private val closedUntil = HashMap<Pair<String, Kind>, Long>()
+    private val closedUntil = HashMap<Pair<String, MachineKind>, Long>()
     private val open = ArrayList<Open>()
     private val recentDemand = HashMap<String, RecentDemand>()
     private val gone = HashSet<String>()
     private val unreachableMs = HashMap<String, Long>()
-    private val listedMachines = ListedMachines(partitions, leaseMs, catalog::type)
+    private val listedMachines = CloudInventory(partitions, leaseMs, catalog::type)
     private var counter = 0L
 
     /** Rents what is asked for and gives back what can be spared, until cancelled. */
@@ -79,21 +79,21 @@
         }
     }
 
-    private suspend fun rent(partition: Partition, view: FleetView, offered: List<MachineType>) {
+    private suspend fun rent(partition: Partition, view: ScalingInputs, offered: List<MachineType>) {
         val zone = partition.zone
         val now = nowMs()
         val rents = policy.rent(view, offered, zone) { (closedUntil[zone to it] ?: 0L) > now }
         for (rent in rents) {
             // The token makes the name new for every owner, the counter for every request of one owner.
             val name = "$zone-${partition.token}-${++counter}"
-            handle(RentRequest(name, rent.kind.type, zone, rent.kind.spot, rent.count.coerceIn(1, 50)))
+            handle(ScaleOutRequest(name, rent.kind.type, zone, rent.kind.spot, rent.count.coerceIn(1, 50)))
         }
     }
 
-    private suspend fun handle(request: RentRequest) {
-        val kind = Kind(request.type, request.spot)
+    private suspend fun handle(request: ScaleOutRequest) {
+        val kind = MachineKind(request.type, request.spot)
         when (val outcome = cloud.rent(request)) {
-            is RentOutcome.Rented -> {
+            is ScaleOutResult.Rented -> {
                 open.removeAll { it.request.request == request.request }
                 val cores = catalog.type(request.type)?.cores ?: 0.0
                 outcome.machines.forEach { coming[it] = Coming(request.zone, kind, cores, nowMs()) }
@@ -108,22 +108,22 @@
                 if (outcome.machines.size < request.count) close(request.zone, kind)
             }
 
-            RentOutcome.NoCapacity -> {
+            ScaleOutResult.NoCapacity -> {
                 open.removeAll { it.request.request == request.request }
                 close(request.zone, kind)
             }
 
-            RentOutcome.Refused -> open.removeAll { it.request.request == request.request }
+            ScaleOutResult.Refused -> open.removeAll { it.request.request == request.request }
 
-            RentOutcome.Unknown -> if (open.none { it.request.request == request.request }) open.add(Open(request))
+            ScaleOutResult.Unknown -> if (open.none { it.request.request == request.request }) open.add(Open(request))
         }
     }
 
-    private fun close(zone: String, kind: Kind) {
+    private fun close(zone: String, kind: MachineKind) {
         closedUntil[zone to kind] = nowMs() + CLOSED_MS + random.nextLong(CLOSED_MS)
     }
 
-    private fun view(partition: Partition): FleetView {
+    private fun view(partition: Partition): ScalingInputs {
         var ordinary = 0.0
         var total = 0.0
         for (machine in partition.machines) {
@@ -151,7 +151,7 @@
             val prompt = partition.load.demand { of(it) && aims.readyShare(it, bootS) > 0 }
             return window.note(nowMs(), prompt, recent.share) + partition.load.demand(of) - prompt
         }
-        return FleetView(wanted(recent.ordinary) { !it.spot }, wanted(recent.total) { true }, ordinary, total)
+        return ScalingInputs(wanted(recent.ordinary) { !it.spot }, wanted(recent.total) { true }, ordinary, total)
     }
 
     /**
@@ -159,7 +159,7 @@
      * partition can do without is emptied first, the least loaded machine before others, and taken back into use if
      * demand returns before it is empty.
      */
-    private fun retire(partition: Partition, whole: FleetView) {
+    private fun retire(partition: Partition, whole: ScalingInputs) {
         var view = whole
         val candidates = partition.machines.filter { it.usable && nowMs() - it.firstSeenMs > KEEP_MS }
             .sortedWith(compareBy<Machine> { it.spot }.thenBy { it.bookedShare() })
@@ -255,7 +255,7 @@
         }
         val type = catalog.type(machine.type) ?: return
         if (machine.ageS > type.bootS * LIKELY_BOOT) return
-        coming[machine.id] = Coming(machine.zone, Kind(machine.type, machine.spot), type.cores, now)
+        coming[machine.id] = Coming(machine.zone, MachineKind(machine.type, machine.spot), type.cores, now)
     }
 
     private class RecentDemand {
--- a/src/main/kotlin/io/otterknot/autoscaling/ListedMachines.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/CloudInventory.kt
@@ -5,7 +5,7 @@
 import io.otterknot.wire.MachineType
 
 /** Compares the cloud's lagging list with what reports, to find machines that will never be of use. */
-class ListedMachines(
+class CloudInventory(
     private val partitions: Map<String, Partition>,
     private val leaseMs: Long,
     private val typeOf: (name: String) -> MachineType?,
--- a/src/main/kotlin/io/otterknot/autoscaling/MachineCatalog.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/MachineTypeCatalog.kt
@@ -7,7 +7,7 @@
 import kotlin.random.Random
 
 /** The machine types that the cloud offers, as it said last, or as the service has learned before. */
-class MachineCatalog(private val cloud: CloudClient, private val random: Random) {
+class MachineTypeCatalog(private val cloud: CloudClient, private val random: Random) {
     private val byName = HashMap<String, MachineType>()
 
     /** The cloud itself has said what it offers since this process started. */
--- a/src/main/kotlin/io/otterknot/autoscaling/FleetPolicy.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ScalingPolicy.kt
@@ -3,19 +3,19 @@
 import io.otterknot.wire.MachineType
 
 /** A kind of machine that can be rented. */
-data class Kind(val type: String, val spot: Boolean)
+data class MachineKind(val type: String, val spot: Boolean)
 
-class Rent(val kind: Kind, val count: Int)
+class ScaleOutDecision(val kind: MachineKind, val count: Int)
 
 /** What a partition has and needs, in cores. */
-class FleetView(
+class ScalingInputs(
     /** Tasks that must not run on spot machines, waiting or active. */
     val ordinaryDemand: Double,
     val totalDemand: Double,
     val ordinarySupply: Double,
     val totalSupply: Double,
 ) {
-    fun without(spot: Boolean, cores: Double) = FleetView(
+    fun without(spot: Boolean, cores: Double) = ScalingInputs(
         ordinaryDemand,
         totalDemand,
         if (spot) ordinarySupply else ordinarySupply - cores,
@@ -28,33 +28,38 @@
  * rented for whatever may use them, ordinary ones only for work that may use no other. What bounds it is the demand,
  * which team limits bound, and what the cloud refuses.
  */
-class FleetPolicy {
+class ScalingPolicy {
 
-    fun rent(view: FleetView, types: List<MachineType>, zone: String, closed: (Kind) -> Boolean): List<Rent> {
+    fun rent(
+        view: ScalingInputs,
+        types: List<MachineType>,
+        zone: String,
+        closed: (MachineKind) -> Boolean,
+    ): List<ScaleOutDecision> {
         val here = types.filter { zone in it.zones && it.cores > 0 }
-        val rents = ArrayList<Rent>()
-        fun take(kind: Kind, cores: Double, gap: Double): Double {
+        val rents = ArrayList<ScaleOutDecision>()
+        fun take(kind: MachineKind, cores: Double, gap: Double): Double {
             val count = Math.ceil(gap / cores).toInt()
             if (count <= 0) return 0.0
-            rents.add(Rent(kind, count))
+            rents.add(ScaleOutDecision(kind, count))
             return count * cores
         }
         val ordinaryGap = view.ordinaryDemand * (1 + HEADROOM) - view.ordinarySupply
-        val ordinary = here.filterNot { closed(Kind(it.name, false)) }.minByOrNull { cost(it, it.price) }
-        val rented = if (ordinary == null) 0.0 else take(Kind(ordinary.name, false), ordinary.cores, ordinaryGap)
+        val ordinary = here.filterNot { closed(MachineKind(it.name, false)) }.minByOrNull { cost(it, it.price) }
+        val rented = if (ordinary == null) 0.0 else take(MachineKind(ordinary.name, false), ordinary.cores, ordinaryGap)
         val gap = view.totalDemand * (1 + HEADROOM) - view.totalSupply - rented
-        val spot = here.filterNot { closed(Kind(it.name, true)) }.minByOrNull { cost(it, it.spotPrice) }
+        val spot = here.filterNot { closed(MachineKind(it.name, true)) }.minByOrNull { cost(it, it.spotPrice) }
         if (spot != null) {
-            take(Kind(spot.name, true), spot.cores, gap)
+            take(MachineKind(spot.name, true), spot.cores, gap)
         } else if (gap > 0 && ordinary != null && rents.isEmpty()) {
             // No spot machine is to be had: an ordinary one costs more, but the work would wait.
-            take(Kind(ordinary.name, false), ordinary.cores, gap)
+            take(MachineKind(ordinary.name, false), ordinary.cores, gap)
         }
         return rents
     }
 
     /** Whether a partition can do without a machine of this many cores. */
-    fun spares(view: FleetView, spot: Boolean, cores: Double): Boolean {
+    fun spares(view: ScalingInputs, spot: Boolean, cores: Double): Boolean {
         if (view.totalSupply - cores < view.totalDemand * (1 + HEADROOM)) return false
         return spot || view.ordinarySupply - cores >= view.ordinaryDemand * (1 + HEADROOM)
     }
--- a/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
+++ b/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
@@ -6,7 +6,7 @@
 import io.otterknot.http.HttpClient
 import io.otterknot.http.HttpResponse
 import io.otterknot.http.HttpServer
-import io.otterknot.metrics.Figures
+import io.otterknot.metrics.Metrics
 import io.otterknot.wire.MAX_BODY_BYTES
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
@@ -112,7 +112,7 @@
         }
         OperatorSettingsFile.parse("(load-spread :mode act :margin-s 3.0 :hand-overs true)")
         // Told for the first time a minute after a start, when nobody should wait for its classes.
-        Figures { 0 }.apply {
+        Metrics { 0 }.apply {
             count("warm-up")
             took("warm-up", 1)
             countsText()
--- a/src/main/kotlin/io/otterknot/cli/Main.kt
+++ b/src/main/kotlin/io/otterknot/cli/Main.kt
@@ -1,14 +1,14 @@
 package io.otterknot.cli
 
-import io.otterknot.config.BadSettings
 import io.otterknot.config.HostPort
+import io.otterknot.config.InvalidSettingsException
 import io.otterknot.config.OperatorSettings
 import io.otterknot.config.OperatorSettingsFile
 import io.otterknot.config.OperatorSettingsFollower
 import io.otterknot.config.Settings
 import io.otterknot.config.SettingsFile
 import io.otterknot.controller.Controller
-import io.otterknot.controller.Links
+import io.otterknot.controller.ControllerTransports
 import io.otterknot.http.HttpClient
 import io.otterknot.http.HttpServer
 import io.otterknot.net.EventLoop
@@ -137,7 +137,7 @@
 /** What [read] gives; null, with one line on standard error, if the settings are bad. */
 private fun <T : Any> orTold(read: () -> T): T? = try {
     read()
-} catch (e: BadSettings) {
+} catch (e: InvalidSettingsException) {
     System.err.println("otterknot: bad settings: ${e.message}")
     null
 }
@@ -158,7 +158,7 @@
     operators: OperatorSettingsFollower? = null,
 ): Unit = coroutineScope {
     val stateAddress = HostPort.parse("endpoints.state", settings.endpoints.state)
-    val links = Links(
+    val links = ControllerTransports(
         state = HttpClient(loop, stateAddress, keep = 4),
         watch = HttpClient(loop, stateAddress, keep = 1),
         cloud = HttpClient(loop, HostPort.parse("endpoints.cloud", settings.endpoints.cloud), keep = 2),
--- a/src/main/kotlin/io/otterknot/cloud/CloudClient.kt
+++ b/src/main/kotlin/io/otterknot/cloud/CloudClient.kt
@@ -2,32 +2,32 @@
 
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
-import io.otterknot.ratelimit.RateBudget
+import io.otterknot.ratelimit.RateLimiter
 import io.otterknot.wire.ListedMachine
 import io.otterknot.wire.MachineList
 import io.otterknot.wire.MachineNames
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.MachineTypes
-import io.otterknot.wire.RentRequest
+import io.otterknot.wire.ScaleOutRequest
 import io.otterknot.wire.WireJson
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.SerializationException
 
-sealed interface RentOutcome {
-    class Rented(val machines: List<String>) : RentOutcome
+sealed interface ScaleOutResult {
+    class Rented(val machines: List<String>) : ScaleOutResult
 
     /** Nothing was rented; there is none of this kind now. */
-    data object NoCapacity : RentOutcome
+    data object NoCapacity : ScaleOutResult
 
     /** Nothing was rented, for a reason that says nothing about capacity. */
-    data object Refused : RentOutcome
+    data object Refused : ScaleOutResult
 
     /** Perhaps rented: only the same request again tells. */
-    data object Unknown : RentOutcome
+    data object Unknown : ScaleOutResult
 }
 
 /** The cloud's interface, within this node's share of its limit. */
-class CloudClient(private val http: Transport, private val budget: RateBudget) {
+class CloudClient(private val http: Transport, private val budget: RateLimiter) {
 
     suspend fun types(): List<MachineType>? {
         budget.take()
@@ -49,21 +49,23 @@
         }
     }
 
-    suspend fun rent(request: RentRequest): RentOutcome {
+    suspend fun rent(request: ScaleOutRequest): ScaleOutResult {
         budget.take()
-        val body = WireJson.encodeToString(RentRequest.serializer(), request).encodeToByteArray()
+        val body = WireJson.encodeToString(ScaleOutRequest.serializer(), request).encodeToByteArray()
         return when (val reply = http.call("POST", "/machines", body, CALL_MS)) {
-            is Reply.None -> RentOutcome.Unknown
+            is Reply.None -> ScaleOutResult.Unknown
 
             is Reply.Answer -> when {
-                reply.status == 200 -> decode(MachineNames.serializer(), reply)?.let { RentOutcome.Rented(it.machines) }
-                    ?: RentOutcome.Unknown
+                reply.status == 200 -> decode(MachineNames.serializer(), reply)?.let {
+                    ScaleOutResult.Rented(it.machines)
+                }
+                    ?: ScaleOutResult.Unknown
 
-                reply.status == 503 && "capacity" in reply.text -> RentOutcome.NoCapacity
+                reply.status == 503 && "capacity" in reply.text -> ScaleOutResult.NoCapacity
 
-                reply.status == 400 || reply.status == 429 || reply.status == 503 -> RentOutcome.Refused
+                reply.status == 400 || reply.status == 429 || reply.status == 503 -> ScaleOutResult.Refused
 
-                else -> RentOutcome.Unknown
+                else -> ScaleOutResult.Unknown
             }
         }
     }
--- a/src/main/kotlin/io/otterknot/config/OperatorSettings.kt
+++ b/src/main/kotlin/io/otterknot/config/OperatorSettings.kt
@@ -20,7 +20,7 @@
         } catch (e: NoSuchFileException) {
             return OperatorSettings()
         } catch (e: IOException) {
-            throw BadSettings("cannot read the operators' file $path: ${e.javaClass.simpleName}")
+            throw InvalidSettingsException("cannot read the operators' file $path: ${e.javaClass.simpleName}")
         }
         return parse(text)
     }
@@ -28,13 +28,13 @@
     fun parse(text: String): OperatorSettings {
         val sections = sections(text)
         sections.groupBy { it.name }.values.firstOrNull { it.size > 1 }?.let {
-            throw BadSettings("section ${it.first().name} stands twice")
+            throw InvalidSettingsException("section ${it.first().name} stands twice")
         }
         var settings = OperatorSettings()
         for (section in sections) {
             settings = when (section.name) {
                 LoadSpreadSettings.SECTION -> settings.copy(loadSpread = LoadSpreadSettings.read(section))
-                else -> throw BadSettings("unknown section ${section.name}")
+                else -> throw InvalidSettingsException("unknown section ${section.name}")
             }
             section.finish()
         }
@@ -52,7 +52,7 @@
                 sections.add(SettingsSection.of(form))
             }
         } catch (e: EdnException) {
-            throw BadSettings("not S-expressions: ${e.message.orEmpty().lineSequence().first()}")
+            throw InvalidSettingsException("not S-expressions: ${e.message.orEmpty().lineSequence().first()}")
         }
     }
 }
--- a/src/main/kotlin/io/otterknot/config/OperatorSettingsFollower.kt
+++ b/src/main/kotlin/io/otterknot/config/OperatorSettingsFollower.kt
@@ -33,7 +33,7 @@
         try {
             current = OperatorSettingsFile.read(path)
             log.info("the operators' file has changed: {}", current)
-        } catch (e: BadSettings) {
+        } catch (e: InvalidSettingsException) {
             log.error("the operators' file has changed and is not taken: {}", e.message)
         }
     }
--- a/src/main/kotlin/io/otterknot/config/Settings.kt
+++ b/src/main/kotlin/io/otterknot/config/Settings.kt
@@ -9,7 +9,7 @@
 import java.nio.file.Path
 
 /** Something in the settings that stops a start; the message is one line for the operator. */
-class BadSettings(message: String) : Exception(message)
+class InvalidSettingsException(message: String) : Exception(message)
 
 @Serializable
 data class Settings(
@@ -19,7 +19,7 @@
     @SerialName("peer_listen") val peerListen: String,
     val members: List<Member> = emptyList(),
     val endpoints: Endpoints,
-    val facts: Facts,
+    val facts: SiteSettings,
 )
 
 @Serializable
@@ -29,20 +29,20 @@
 data class Endpoints(val cloud: String, val state: String)
 
 @Serializable
-data class Facts(
+data class SiteSettings(
     val nodes: Int,
     val zones: List<String>,
     @SerialName("clock_error_ms") val clockErrorMs: Double = 0.0,
-    val teams: List<TeamFacts> = emptyList(),
-    val objectives: List<Objective> = emptyList(),
-    val workers: WorkerFacts,
-    val state: StateFacts,
-    val cloud: CloudFacts,
+    val teams: List<TeamSettings> = emptyList(),
+    val objectives: List<ObjectiveSettings> = emptyList(),
+    val workers: WorkerSettings,
+    val state: StoreSettings,
+    val cloud: CloudSettings,
     @SerialName("machine_limits") val machineLimits: MachineLimits = MachineLimits(),
 )
 
 @Serializable
-data class TeamFacts(
+data class TeamSettings(
     val name: String,
     val cpus: Double = 0.0,
     @SerialName("cpus_max") val cpusMax: Double = 0.0,
@@ -51,7 +51,7 @@
 )
 
 @Serializable
-data class Objective(
+data class ObjectiveSettings(
     val kind: String,
     @SerialName("class") val jobKind: String? = null,
     @SerialName("within_s") val withinS: Double? = null,
@@ -60,20 +60,20 @@
 )
 
 @Serializable
-data class WorkerFacts(
+data class WorkerSettings(
     @SerialName("report_s") val reportS: Double,
     @SerialName("lease_s") val leaseS: Double,
     @SerialName("cancel_s") val cancelS: Double,
 )
 
 @Serializable
-data class StateFacts(
+data class StoreSettings(
     val rps: Double,
     @SerialName("write_rps") val writeRps: Double,
     @SerialName("value_kb") val valueKb: Double,
     @SerialName("txn_ops") val txnOps: Int,
     /** Limits that will hold from some moment on, without notice; what is not named stays. */
-    val next: NextStateFacts = NextStateFacts(),
+    val next: AnnouncedStoreLimits = AnnouncedStoreLimits(),
 ) {
     /** What holds now and later. */
     val leastValueKb: Double get() = minOf(valueKb, next.valueKb ?: valueKb)
@@ -83,7 +83,7 @@
 }
 
 @Serializable
-data class NextStateFacts(
+data class AnnouncedStoreLimits(
     val rps: Double? = null,
     @SerialName("write_rps") val writeRps: Double? = null,
     @SerialName("value_kb") val valueKb: Double? = null,
@@ -91,7 +91,7 @@
 )
 
 @Serializable
-data class CloudFacts(val rps: Double, @SerialName("list_lag_s") val listLagS: Double)
+data class CloudSettings(val rps: Double, @SerialName("list_lag_s") val listLagS: Double)
 
 @Serializable
 data class MachineLimits(@SerialName("fd_limit") val fdLimit: Int = 512)
@@ -101,7 +101,11 @@
         fun parse(name: String, text: String): HostPort {
             val port = text.substringAfterLast(':', "").toIntOrNull()
             val host = text.substringBeforeLast(':', "")
-            if (host.isEmpty() || port == null || port !in 0..65_535) throw BadSettings("$name is not HOST:PORT: $text")
+            if (host.isEmpty() || port == null ||
+                port !in 0..65_535
+            ) {
+                throw InvalidSettingsException("$name is not HOST:PORT: $text")
+            }
             return HostPort(host, port)
         }
     }
@@ -114,7 +118,7 @@
         val text = try {
             Files.readString(path)
         } catch (e: java.io.IOException) {
-            throw BadSettings("cannot read the settings file $path: ${e.javaClass.simpleName}")
+            throw InvalidSettingsException("cannot read the settings file $path: ${e.javaClass.simpleName}")
         }
         return parse(text)
     }
@@ -123,9 +127,9 @@
         val settings = try {
             toml.decodeFromString(Settings.serializer(), text)
         } catch (e: SerializationException) {
-            throw BadSettings(oneLine(e))
+            throw InvalidSettingsException(oneLine(e))
         } catch (e: IllegalArgumentException) {
-            throw BadSettings(oneLine(e))
+            throw InvalidSettingsException(oneLine(e))
         }
         check(settings)
         return settings
@@ -135,7 +139,7 @@
 
     private fun check(settings: Settings) {
         fun demand(holds: Boolean, text: String) {
-            if (!holds) throw BadSettings(text)
+            if (!holds) throw InvalidSettingsException(text)
         }
         demand(settings.label.isNotBlank(), "label is empty")
         HostPort.parse("bind", settings.bind)
--- a/src/main/kotlin/io/otterknot/config/SettingsSection.kt
+++ b/src/main/kotlin/io/otterknot/config/SettingsSection.kt
@@ -41,25 +41,27 @@
     /** Everything has been taken; what is left is not a setting. */
     fun finish() {
         val unknown = values.keys.firstOrNull() ?: return
-        throw BadSettings("$name: unknown setting :$unknown")
+        throw InvalidSettingsException("$name: unknown setting :$unknown")
     }
 
     private fun take(setting: String, default: Any): Any? = if (setting in values) values.remove(setting) else default
 
     private fun bad(setting: String, value: Any?, wanted: String) =
-        BadSettings("$name: :$setting is $value, not $wanted")
+        InvalidSettingsException("$name: :$setting is $value, not $wanted")
 
     companion object {
         /** Reads one form of the file. */
         fun of(form: Any?): SettingsSection {
-            val items = form as? List<*> ?: throw BadSettings("not a section in parentheses: $form")
-            val name = (items.firstOrNull() as? Symbol)?.name ?: throw BadSettings("a section without a name: $form")
+            val items = form as? List<*> ?: throw InvalidSettingsException("not a section in parentheses: $form")
+            val name =
+                (items.firstOrNull() as? Symbol)?.name
+                    ?: throw InvalidSettingsException("a section without a name: $form")
             val values = LinkedHashMap<String, Any?>()
             for (pair in items.drop(1).chunked(2)) {
                 val setting = (pair[0] as? Keyword)?.name
-                    ?: throw BadSettings("$name: ${pair[0]} is not a setting, which begins with a colon")
-                if (pair.size < 2) throw BadSettings("$name: :$setting has no value")
-                if (setting in values) throw BadSettings("$name: :$setting stands twice")
+                    ?: throw InvalidSettingsException("$name: ${pair[0]} is not a setting, which begins with a colon")
+                if (pair.size < 2) throw InvalidSettingsException("$name: :$setting has no value")
+                if (setting in values) throw InvalidSettingsException("$name: :$setting stands twice")
                 values[setting] = pair[1]
             }
             return SettingsSection(name, values)
--- a/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
+++ b/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
@@ -2,9 +2,9 @@
 
 import io.otterknot.jobs.JobTable
 import io.otterknot.partition.Partition
-import io.otterknot.records.DoneRecord
-import io.otterknot.records.Keys
-import io.otterknot.records.TaskBits
+import io.otterknot.records.CompletionSegmentRecord
+import io.otterknot.records.StoreKeys
+import io.otterknot.records.TaskBitmaps
 import io.otterknot.records.encodeRecord
 import io.otterknot.scheduling.PartitionJob
 import io.otterknot.store.PendingWrite
@@ -20,27 +20,27 @@
      * The writes that make all completions of [partition] durable, and those that remove what is of no use any more.
      */
     fun writes(partition: Partition): List<PendingWrite> {
-        val segments = jobs.segments(Keys.done(partition.zone, ""))
+        val segments = jobs.segments(StoreKeys.done(partition.zone, ""))
         val added = additions(partition, segments)
         val written = added.mapTo(HashSet()) { it.key }
         val removed = segments.filter { (key, record) -> key !in written && isObsolete(record) }.keys
         return added + removed.map { PendingWrite(it, null) }
     }
 
-    private fun isObsolete(record: DoneRecord): Boolean =
+    private fun isObsolete(record: CompletionSegmentRecord): Boolean =
         (record.bits.keys + record.fine?.keys.orEmpty()).none(jobs::matters)
 
-    private fun additions(partition: Partition, segments: Map<String, DoneRecord>): List<PendingWrite> {
+    private fun additions(partition: Partition, segments: Map<String, CompletionSegmentRecord>): List<PendingWrite> {
         val chunks = changedChunks(partition)
         if (chunks.isEmpty()) return emptyList()
         val writes = ArrayList<PendingWrite>()
         var number = lastNumber(partition, segments.keys)
-        var segment = Segment(segments[key(partition, number)] ?: DoneRecord())
+        var segment = Segment(segments[key(partition, number)] ?: CompletionSegmentRecord())
         for (chunk in chunks) {
             if (!segment.add(chunk)) {
                 if (segment.changed) writes.add(segment.write(key(partition, number)))
                 number++
-                segment = Segment(DoneRecord())
+                segment = Segment(CompletionSegmentRecord())
                 segment.add(chunk)
             }
         }
@@ -50,26 +50,26 @@
 
     /** Some tasks of one job, with newly completed ones among them. */
     private class Chunk(val job: PartitionJob, val index: Int) {
-        val size = TaskBits.chunkOf(job.spec.tasks)
-        val name = TaskBits.name(job.id, index)
+        val size = TaskBitmaps.chunkOf(job.spec.tasks)
+        val name = TaskBitmaps.name(job.id, index)
     }
 
     private fun changedChunks(partition: Partition): List<Chunk> = partition.jobs.filterNot {
         it.unrecorded.isEmpty
     }.flatMap { job ->
-        val last = (job.unrecorded.length() - 1) / TaskBits.chunkOf(job.spec.tasks)
+        val last = (job.unrecorded.length() - 1) / TaskBitmaps.chunkOf(job.spec.tasks)
         (0..last).map { Chunk(job, it) }
     }
 
-    private fun key(partition: Partition, number: Int) = Keys.done(partition.zone, "${partition.token}-$number")
+    private fun key(partition: Partition, number: Int) = StoreKeys.done(partition.zone, "${partition.token}-$number")
 
     private fun lastNumber(partition: Partition, keys: Set<String>): Int {
-        val prefix = Keys.done(partition.zone, "${partition.token}-")
+        val prefix = StoreKeys.done(partition.zone, "${partition.token}-")
         return keys.filter { it.startsWith(prefix) }.maxOfOrNull { it.removePrefix(prefix).toInt() } ?: 0
     }
 
     /** A segment as it shall be, without what is said of jobs that are over. */
-    private inner class Segment(record: DoneRecord) {
+    private inner class Segment(record: CompletionSegmentRecord) {
         private val bits = record.bits.filterKeys(jobs::matters).toMutableMap()
         private val fineBits = record.fine.orEmpty().filterKeys(jobs::matters).toMutableMap()
 
@@ -79,10 +79,10 @@
 
         /** Adds a job's completions unless that makes the segment too large; an empty one takes anything. */
         fun add(chunk: Chunk): Boolean {
-            val entries = if (chunk.size == TaskBits.CHUNK) bits else fineBits
+            val entries = if (chunk.size == TaskBitmaps.CHUNK) bits else fineBits
             val tasks = chunk.job.unrecorded.clone() as BitSet
-            entries[chunk.name]?.let { TaskBits.decodeInto(it, chunk.index, tasks, chunk.size) }
-            val text = TaskBits.encode(tasks, chunk.index, chunk.size)
+            entries[chunk.name]?.let { TaskBitmaps.decodeInto(it, chunk.index, tasks, chunk.size) }
+            val text = TaskBitmaps.encode(tasks, chunk.index, chunk.size)
             val replaced = entries[chunk.name]?.let { size(chunk.name, it) } ?: 0
             val isEmpty = bits.isEmpty() && fineBits.isEmpty()
             if (!isEmpty && size() - replaced + size(chunk.name, text) > limits.recordBytes) return false
@@ -92,8 +92,8 @@
         }
 
         fun write(key: String): PendingWrite {
-            val record = DoneRecord(bits, fineBits.ifEmpty { null })
-            return PendingWrite(key, encodeRecord(DoneRecord.serializer(), record))
+            val record = CompletionSegmentRecord(bits, fineBits.ifEmpty { null })
+            return PendingWrite(key, encodeRecord(CompletionSegmentRecord.serializer(), record))
         }
 
         private fun size(): Int = listOf(bits, fineBits).sumOf { entries ->
--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -1,50 +1,50 @@
 package io.otterknot.controller
 
-import io.otterknot.api.UserApi
-import io.otterknot.autoscaling.Fleet
-import io.otterknot.autoscaling.FleetPolicy
-import io.otterknot.autoscaling.MachineCatalog
+import io.otterknot.api.JobApi
+import io.otterknot.autoscaling.Autoscaler
+import io.otterknot.autoscaling.MachineTypeCatalog
+import io.otterknot.autoscaling.ScalingPolicy
 import io.otterknot.cloud.CloudClient
 import io.otterknot.config.OperatorSettings
 import io.otterknot.config.Settings
-import io.otterknot.heartbeat.ReportEndpoint
+import io.otterknot.heartbeat.HeartbeatEndpoint
 import io.otterknot.http.HttpRequest
 import io.otterknot.http.HttpResponse
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
 import io.otterknot.jobs.JobTable
-import io.otterknot.leadership.OwnerTxn
-import io.otterknot.leadership.Ownership
+import io.otterknot.leadership.FencedTransactions
+import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.leadership.leaseTtlMs
-import io.otterknot.metrics.Figures
+import io.otterknot.metrics.Metrics
+import io.otterknot.partition.LeaseTimings
 import io.otterknot.partition.Partition
-import io.otterknot.partition.PartitionTimings
-import io.otterknot.partition.TeamShare
-import io.otterknot.peer.Announcer
+import io.otterknot.partition.TeamQuota
+import io.otterknot.peer.IdlePartitionAnnouncer
 import io.otterknot.peer.IdlePartitions
 import io.otterknot.peer.PEER_ANSWER_MS
 import io.otterknot.peer.PeerMessage
 import io.otterknot.peer.PeerRelay
 import io.otterknot.peer.PeerTransport
-import io.otterknot.quota.Allotments
-import io.otterknot.ratelimit.RateBudget
-import io.otterknot.reassignment.Handover
-import io.otterknot.reassignment.TaskTransfer
+import io.otterknot.quota.QuotaShares
+import io.otterknot.ratelimit.RateLimiter
+import io.otterknot.reassignment.TaskReassigner
+import io.otterknot.reassignment.TaskReassignment
 import io.otterknot.rebalance.LoadSpread
 import io.otterknot.rebalance.LoadSpreadHost
 import io.otterknot.rebalance.MoveKind
 import io.otterknot.rebalance.MoveState
-import io.otterknot.records.Amount
-import io.otterknot.scheduling.Aims
+import io.otterknot.records.QuotaAmount
 import io.otterknot.scheduling.PartitionView
-import io.otterknot.scheduling.aimsByKind
-import io.otterknot.store.Contact
-import io.otterknot.store.Relays
-import io.otterknot.store.Replica
-import io.otterknot.store.StateClient
-import io.otterknot.store.StateLink
+import io.otterknot.scheduling.ServiceLevelObjectives
+import io.otterknot.scheduling.objectivesByJobClass
+import io.otterknot.store.BatchWriter
+import io.otterknot.store.KeyValueStoreClient
+import io.otterknot.store.RelayPool
+import io.otterknot.store.StoreConnection
+import io.otterknot.store.StoreHealth
+import io.otterknot.store.StoreReplica
 import io.otterknot.store.WriteLimits
-import io.otterknot.store.Writer
 import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.coroutineScope
@@ -55,12 +55,17 @@
 import kotlin.random.Random
 
 /** How a controller reaches the others and the services; tests give stand-ins. */
-class Links(val state: Transport, val watch: Transport, val cloud: Transport, val peers: Map<String, PeerTransport>)
+class ControllerTransports(
+    val state: Transport,
+    val watch: Transport,
+    val cloud: Transport,
+    val peers: Map<String, PeerTransport>,
+)
 
 /** One controller: everything it keeps, and the coroutines that keep it going, all on one thread. */
 class Controller(
     private val settings: Settings,
-    private val links: Links,
+    private val links: ControllerTransports,
     private val random: Random,
     private val nowMs: () -> Long,
     private val wallMs: () -> Long,
@@ -71,22 +76,22 @@
     private val facts = settings.facts
     private val nodes = maxOf(facts.nodes, settings.members.size + 1)
     private val zones = facts.zones
-    private val budget = RateBudget(
+    private val budget = RateLimiter(
         facts.state.rps,
         facts.state.writeRps,
         nowMs,
-        { RateBudget.Share(share(EVEN_REQUESTS), share(EVEN_CHANGES)) },
-        RateBudget.Limits(facts.state.leastRps, facts.state.leastWriteRps),
+        { RateLimiter.Share(share(EVEN_REQUESTS), share(EVEN_CHANGES)) },
+        RateLimiter.Limits(facts.state.leastRps, facts.state.leastWriteRps),
     )
-    private val figures = Figures(nowMs)
-    private val contact = Contact(nowMs)
-    private val relays = Relays(links.peers.values.map(::PeerRelay), random, nowMs)
-    private val stateLink = StateLink(links.state, contact, relays)
-    private val state = StateClient(stateLink, StateLink(links.watch, contact, relays), budget, figures)
+    private val figures = Metrics(nowMs)
+    private val contact = StoreHealth(nowMs)
+    private val relays = RelayPool(links.peers.values.map(::PeerRelay), random, nowMs)
+    private val stateLink = StoreConnection(links.state, contact, relays)
+    private val state = KeyValueStoreClient(stateLink, StoreConnection(links.watch, contact, relays), budget, figures)
 
     // A tenth of this node's requests goes to reopened watches at most every so often.
     private val replica =
-        Replica(state, random, nowMs, pauseMs = (3_500.0 * nodes / facts.state.rps).toLong().coerceIn(120, 250))
+        StoreReplica(state, random, nowMs, pauseMs = (3_500.0 * nodes / facts.state.rps).toLong().coerceIn(120, 250))
     private val jobs = JobTable()
 
     /** Nothing larger is written, now or once the limits are lowered. */
@@ -94,7 +99,7 @@
     private val partitions = LinkedHashMap<String, Partition>()
     private val domains = settings.members.associate { it.label to it.domain } + (settings.label to settings.domain)
     private val machines = RegisteredMachines(replica)
-    private val ownership: Ownership = Ownership(
+    private val ownership: PartitionLeadership = PartitionLeadership(
         settings.label, zones, domains, state, replica,
         leaseTtlMs(facts.workers.leaseS, facts.workers.cancelS), nowMs, random,
         machines = { machines.of(it).keys },
@@ -107,47 +112,48 @@
     private val claimed = ArrayList<Claim>()
     private val cloud = CloudClient(
         links.cloud,
-        RateBudget(facts.cloud.rps, 1.0, nowMs, { RateBudget.Share(share(EVEN_CALLS), 1.0) }),
+        RateLimiter(facts.cloud.rps, 1.0, nowMs, { RateLimiter.Share(share(EVEN_CALLS), 1.0) }),
     )
     private val leaseMs = (facts.workers.leaseS * 1000).toLong()
-    private val aims = Aims(aimsByKind(facts.objectives))
-    private val catalog = MachineCatalog(cloud, random)
-    private val fleet = Fleet(
+    private val aims = ServiceLevelObjectives(objectivesByJobClass(facts.objectives))
+    private val catalog = MachineTypeCatalog(cloud, random)
+    private val fleet = Autoscaler(
         cloud, catalog, ownership, partitions,
-        FleetPolicy(), aims,
+        ScalingPolicy(), aims,
         (facts.workers.reportS * 1000).toLong(), leaseMs, nowMs, random,
     )
     private val typeRecorder = MachineTypeRecorder(state, replica, budget, limits)
     private val views = zones.associateWith { PartitionView(it) }
-    private val writer = Writer(state, replica, random, limits, nowMs)
-    private val recorder = PartitionRecorder(
+    private val writer = BatchWriter(state, replica, random, limits, nowMs)
+    private val recorder = PartitionStateWriter(
         replica, partitions, ownership, writer,
         CompletionSegments(jobs, limits),
-        JobFinisher(state, replica, jobs, ownership, budget, limits, wallMs),
+        JobFinalizer(state, replica, jobs, ownership, budget, limits, wallMs),
         limits,
         facts.teams.filter { it.cpusMax > 0 || it.gpusMax > 0 }.map { it.name },
         nowMs,
         pressureOf = { loadSpread.record(it) },
     )
-    private val users = UserApi(
+    private val users = JobApi(
         state, replica, jobs, partitions, { views.values.toList() }, { catalog.types }, facts.teams,
         limits, ::isolated, wallMs, random,
     )
-    private val ownerTxn = OwnerTxn(state, replica, ownership, partitions, limits, random)
+    private val ownerTxn = FencedTransactions(state, replica, ownership, partitions, limits, random)
     private val allotments =
-        Allotments(ownerTxn, replica, ownership, partitions, views, limits, facts.teams, zones, random)
-    private val transfer = TaskTransfer(ownerTxn, limits)
+        QuotaShares(ownerTxn, replica, ownership, partitions, views, limits, facts.teams, zones, random)
+    private val transfer = TaskReassignment(ownerTxn, limits)
     private val loadSpread: LoadSpread =
         LoadSpread(LoadSpreadSurroundings(), transfer, { operators().loadSpread }, nowMs, wallMs, random)
-    private val handover = Handover(
+    private val handover = TaskReassigner(
         transfer, ownership, partitions, views, catalog::offers, nowMs, wallMs, random,
         isDecidedElsewhere = loadSpread::decidesHandOvers,
     )
-    private val reports = ReportEndpoint(settings.label, ownership, partitions, nowMs)
+    private val reports = HeartbeatEndpoint(settings.label, ownership, partitions, nowMs)
     private val router = RequestRouter(users, reports)
-    private val dispatcher = ReplicaDispatcher(jobs, partitions, machines, ownership, catalog, allotments, views)
+    private val dispatcher = ReplicaChangeDispatcher(jobs, partitions, machines, ownership, catalog, allotments, views)
     private val idlePartitions = IdlePartitions(views) { contact.sound }
-    private val announcer = Announcer(settings.label, idlePartitions, links.peers, partitions, nowMs, random)
+    private val announcer =
+        IdlePartitionAnnouncer(settings.label, idlePartitions, links.peers, partitions, nowMs, random)
 
     /**
      * This node's share of a limit: [even] of it goes evenly to all nodes, the rest with the partitions, since their
@@ -275,7 +281,7 @@
                 token = token,
                 claimedMs = nowMs(),
                 othersUntilMs = ownership.overrides.othersUntilMs(zone, claim.overriding),
-                times = PartitionTimings(leaseMs),
+                times = LeaseTimings(leaseMs),
                 random = random,
                 aims = aims,
                 wallOf = { it + wallAhead() },
@@ -290,7 +296,17 @@
     }
 
     private fun teamShares(zone: String) = facts.teams.map { team ->
-        TeamShare(team.name, if (team.cpus > 0) team.cpus else 1.0, allotments.of(team.name).byZone[zone] ?: Amount())
+        TeamQuota(
+            team.name,
+            if (team.cpus >
+                0
+            ) {
+                team.cpus
+            } else {
+                1.0
+            },
+            allotments.of(team.name).byZone[zone] ?: QuotaAmount(),
+        )
     }
 
     private companion object {
--- a/src/main/kotlin/io/otterknot/controller/JobFinisher.kt
+++ b/src/main/kotlin/io/otterknot/controller/JobFinalizer.kt
@@ -3,12 +3,12 @@
 import io.otterknot.jobs.Job
 import io.otterknot.jobs.JobTable
 import io.otterknot.jobs.JobTransitions
-import io.otterknot.leadership.Ownership
-import io.otterknot.ratelimit.RateBudget
-import io.otterknot.store.GuardedChange
-import io.otterknot.store.Replica
-import io.otterknot.store.StateClient
-import io.otterknot.store.TxnOutcome
+import io.otterknot.leadership.PartitionLeadership
+import io.otterknot.ratelimit.RateLimiter
+import io.otterknot.store.CompareAndSwap
+import io.otterknot.store.KeyValueStoreClient
+import io.otterknot.store.StoreReplica
+import io.otterknot.store.TransactionOutcome
 import io.otterknot.store.WriteLimits
 import org.slf4j.LoggerFactory
 
@@ -16,16 +16,16 @@
  * Writes the final states of jobs. The owner of a job's home partition makes it final once the completions of all its
  * tasks are durable, or once a job that it awaits is cancelled; users are told of the latter without waiting for it.
  */
-class JobFinisher(
-    private val client: StateClient,
-    private val replica: Replica,
+class JobFinalizer(
+    private val client: KeyValueStoreClient,
+    private val replica: StoreReplica,
     private val jobs: JobTable,
-    private val ownership: Ownership,
-    private val budget: RateBudget,
+    private val ownership: PartitionLeadership,
+    private val budget: RateLimiter,
     private val limits: WriteLimits,
     private val wallMs: () -> Long,
 ) {
-    private val log = LoggerFactory.getLogger(JobFinisher::class.java)
+    private val log = LoggerFactory.getLogger(JobFinalizer::class.java)
 
     /** Writes all that are due, until a transaction fails. */
     suspend fun finishAll() {
@@ -53,23 +53,23 @@
         val owner = ownership.guard(homeZone) ?: return true
         val ends = chosen.filter(::isDue).mapNotNull { JobTransitions.finish(it, wallMs(), limits) }
         if (ends.isEmpty()) return true
-        val change = ends.reduce(GuardedChange::plus).onlyWhile(owner)
+        val change = ends.reduce(CompareAndSwap::plus).onlyWhile(owner)
         budget.takeSpare(change.size)
         return when (val outcome = client.txn(change)) {
-            is TxnOutcome.Applied -> {
+            is TransactionOutcome.Applied -> {
                 log.debug("done or cancelled: {}", change.changes.map { it.key })
                 replica.reach(outcome.revision, REACH_MS)
             }
 
             // Some job was cancelled or handed on meanwhile; what the replica then shows is tried again.
-            is TxnOutcome.Conflict -> replica.reach(outcome.revision, REACH_MS)
+            is TransactionOutcome.Conflict -> replica.reach(outcome.revision, REACH_MS)
 
-            is TxnOutcome.Refused -> {
+            is TransactionOutcome.Refused -> {
                 if (outcome.tooLarge) limits.refused(change.changes)
                 false
             }
 
-            is TxnOutcome.Unknown -> false
+            is TransactionOutcome.Unknown -> false
         }
     }
 
--- a/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
+++ b/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
@@ -1,12 +1,12 @@
 package io.otterknot.controller
 
-import io.otterknot.ratelimit.RateBudget
-import io.otterknot.records.Keys
+import io.otterknot.ratelimit.RateLimiter
+import io.otterknot.records.StoreKeys
 import io.otterknot.records.decodeRecord
 import io.otterknot.records.encodeRecord
-import io.otterknot.store.GuardedChange
-import io.otterknot.store.Replica
-import io.otterknot.store.StateClient
+import io.otterknot.store.CompareAndSwap
+import io.otterknot.store.KeyValueStoreClient
+import io.otterknot.store.StoreReplica
 import io.otterknot.store.WriteLimits
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.MachineTypes
@@ -14,19 +14,19 @@
 
 /** Keeps what the cloud offers for controllers that start while it is away. */
 class MachineTypeRecorder(
-    private val client: StateClient,
-    private val replica: Replica,
-    private val budget: RateBudget,
+    private val client: KeyValueStoreClient,
+    private val replica: StoreReplica,
+    private val budget: RateLimiter,
     private val limits: WriteLimits,
 ) {
     private val log = LoggerFactory.getLogger(MachineTypeRecorder::class.java)
 
     suspend fun record(offered: List<MachineType>) {
         replica.awaitLoaded()
-        val stored = replica.snapshot(Keys.TYPES)
+        val stored = replica.snapshot(StoreKeys.TYPES)
         val known = stored.value?.let { decodeRecord(MachineTypes.serializer(), it).types }.orEmpty()
         if (withoutPrices(known) == withoutPrices(offered)) return
-        val change = GuardedChange.put(stored, encodeRecord(MachineTypes.serializer(), MachineTypes(offered)))
+        val change = CompareAndSwap.put(stored, encodeRecord(MachineTypes.serializer(), MachineTypes(offered)))
         if (!limits.fits(change)) return
         budget.take(1)
         // One of the nodes that try succeeds; whatever else comes of it, the next answer of the cloud tries again.
--- a/src/main/kotlin/io/otterknot/controller/PartitionRecorder.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionStateWriter.kt
@@ -1,19 +1,19 @@
 package io.otterknot.controller
 
-import io.otterknot.leadership.Ownership
+import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.partition.Partition
-import io.otterknot.records.Keys
-import io.otterknot.records.MachinesRecord
-import io.otterknot.records.MeanRecord
+import io.otterknot.records.MachineSegmentRecord
+import io.otterknot.records.PartitionLoadRecord
 import io.otterknot.records.PressureRecord
-import io.otterknot.records.Segments
+import io.otterknot.records.RecordSegments
+import io.otterknot.records.StoreKeys
 import io.otterknot.records.TeamPressureRecord
 import io.otterknot.records.decodeRecord
 import io.otterknot.records.encodeRecord
+import io.otterknot.store.BatchWriter
 import io.otterknot.store.PendingWrite
-import io.otterknot.store.Replica
+import io.otterknot.store.StoreReplica
 import io.otterknot.store.WriteLimits
-import io.otterknot.store.Writer
 import kotlinx.coroutines.delay
 import kotlin.math.abs
 
@@ -21,13 +21,13 @@
  * Makes durable what the owned partitions learn: machines before their first task, completions, finished jobs and
  * means. Runs in one coroutine.
  */
-class PartitionRecorder(
-    private val replica: Replica,
+class PartitionStateWriter(
+    private val replica: StoreReplica,
     private val partitions: Map<String, Partition>,
-    private val ownership: Ownership,
-    private val writer: Writer,
+    private val ownership: PartitionLeadership,
+    private val writer: BatchWriter,
     private val completions: CompletionSegments,
-    private val finisher: JobFinisher,
+    private val finisher: JobFinalizer,
     private val limits: WriteLimits,
     private val limitedTeams: List<String>,
     private val nowMs: () -> Long,
@@ -56,7 +56,7 @@
 
     /** Removes the mark that an earlier owner may still act, once it surely does not. */
     private fun overrideEnd(partition: Partition): PendingWrite? {
-        val key = Keys.override(partition.zone)
+        val key = StoreKeys.override(partition.zone)
         if (replica[key] == null || nowMs() <= partition.othersUntilMs) return null
         return PendingWrite(key, null)
     }
@@ -65,11 +65,18 @@
         val added = partition.unregistered().associate { it.id to it.type.name }
         if (added.isEmpty() && partition.retired.isEmpty()) return emptyList()
         val stored = replica.machineSegments(partition.zone)
-        val changed = Segments.spread(stored, partition.retired, added, limits.recordBytes / MACHINE_BYTES)
+        val changed = RecordSegments.spread(stored, partition.retired, added, limits.recordBytes / MACHINE_BYTES)
         val earlier = LinkedHashSet<String>()
         return changed.map { (segment, types) ->
-            val key = Keys.machines(partition.zone, segment)
-            val value = if (types.isEmpty()) null else encodeRecord(MachinesRecord.serializer(), MachinesRecord(types))
+            val key = StoreKeys.machines(partition.zone, segment)
+            val value = if (types.isEmpty()) {
+                null
+            } else {
+                encodeRecord(
+                    MachineSegmentRecord.serializer(),
+                    MachineSegmentRecord(types),
+                )
+            }
             // A machine must be in some segment at any time: what loses one is written after what takes it.
             val moved = stored[segment].orEmpty().keys - types.keys - partition.retired
             val after = if (moved.isEmpty()) emptySet() else earlier.toSet()
@@ -82,9 +89,9 @@
     private fun mean(partition: Partition): PendingWrite? {
         val now = nowMs()
         if (now - (meanSentMs[partition.zone] ?: Long.MIN_VALUE / 2) < MEAN_EVERY_MS) return null
-        val key = Keys.mean(partition.zone)
+        val key = StoreKeys.mean(partition.zone)
         val needs = limitedTeams.associateWith { partition.need(it) }.filterValues { it.cores > 0 || it.cards > 0 }
-        val current = MeanRecord(
+        val current = PartitionLoadRecord(
             mean = round(partition.load.mean()),
             cores = partition.load.totalCores,
             ordinaryMean = round(partition.load.ordinaryMean()),
@@ -92,13 +99,13 @@
             needs = needs,
             pressure = pressureOf(partition),
         )
-        val published = replica[key]?.let { decodeRecord(MeanRecord.serializer(), it.value) }
+        val published = replica[key]?.let { decodeRecord(PartitionLoadRecord.serializer(), it.value) }
         if (published != null && isClose(published, current)) return null
         meanSentMs[partition.zone] = now
-        return PendingWrite(key, encodeRecord(MeanRecord.serializer(), current))
+        return PendingWrite(key, encodeRecord(PartitionLoadRecord.serializer(), current))
     }
 
-    private fun isClose(published: MeanRecord, current: MeanRecord): Boolean =
+    private fun isClose(published: PartitionLoadRecord, current: PartitionLoadRecord): Boolean =
         abs(published.mean - current.mean) < MEAN_STEP &&
             abs(published.ordinaryMean - current.ordinaryMean) < MEAN_STEP &&
             published.needs == current.needs &&
--- a/src/main/kotlin/io/otterknot/controller/RegisteredMachines.kt
+++ b/src/main/kotlin/io/otterknot/controller/RegisteredMachines.kt
@@ -1,9 +1,9 @@
 package io.otterknot.controller
 
-import io.otterknot.store.Replica
+import io.otterknot.store.StoreReplica
 
 /** The machines that may hold tasks of each partition, with their types, as the replica has them. */
-class RegisteredMachines(private val replica: Replica) {
+class RegisteredMachines(private val replica: StoreReplica) {
     /** As last read from the replica, until that changes. */
     private val byZone = HashMap<String, Map<String, String>>()
 
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
@@ -0,0 +1,90 @@
+package io.otterknot.controller
+
+import io.otterknot.autoscaling.MachineTypeCatalog
+import io.otterknot.jobs.Job
+import io.otterknot.jobs.JobTable
+import io.otterknot.leadership.PartitionLeadership
+import io.otterknot.partition.Partition
+import io.otterknot.quota.QuotaShares
+import io.otterknot.records.PartitionLoadRecord
+import io.otterknot.records.StoreKeys
+import io.otterknot.records.decodeRecord
+import io.otterknot.scheduling.PartitionView
+import io.otterknot.store.ReplicaEntry
+import io.otterknot.wire.MachineTypes
+
+/** Tells each change of the replica to what depends on it. */
+class ReplicaChangeDispatcher(
+    private val jobs: JobTable,
+    private val partitions: Map<String, Partition>,
+    private val machines: RegisteredMachines,
+    private val ownership: PartitionLeadership,
+    private val catalog: MachineTypeCatalog,
+    private val allotments: QuotaShares,
+    private val views: Map<String, PartitionView>,
+) {
+    /** [entry] is null for a removed key. */
+    fun changed(key: String, entry: ReplicaEntry?) {
+        when {
+            key.startsWith(StoreKeys.JOBS) -> updateJobs(jobs.changeJob(key, entry))
+
+            key.startsWith(StoreKeys.AWAITS) -> updateJobs(jobs.changeAwaits(key, entry))
+
+            key.startsWith(StoreKeys.DONE) -> updateCompletions(jobs.changeDone(key, entry))
+
+            key.startsWith(
+                StoreKeys.MACHINES,
+            ) -> machinesChanged(key.removePrefix(StoreKeys.MACHINES).substringBefore('/'))
+
+            key.startsWith(StoreKeys.PARTITIONS) ->
+                ownership.partitionChanged(key.removePrefix(StoreKeys.PARTITIONS), entry?.version)
+
+            key.startsWith(StoreKeys.OVERRIDES) ->
+                ownership.overrides.changed(key.removePrefix(StoreKeys.OVERRIDES), present = entry != null)
+
+            key == StoreKeys.TYPES -> typesChanged(entry)
+
+            key.startsWith(StoreKeys.ALLOTMENTS) -> allotments.changed(key.removePrefix(StoreKeys.ALLOTMENTS))
+
+            key.startsWith(StoreKeys.MEANS) -> meanChanged(key.removePrefix(StoreKeys.MEANS), entry)
+        }
+    }
+
+    private fun updateJobs(changed: List<Job>) {
+        for (partition in partitions.values) {
+            for (job in changed) partition.updateJob(job, inherited = false)
+        }
+    }
+
+    private fun updateCompletions(changed: List<Job>) {
+        for (job in changed) {
+            for (partition in partitions.values) partition.updateDone(job)
+        }
+    }
+
+    private fun machinesChanged(zone: String) {
+        machines.changed(zone)
+        partitions[zone]?.registeredNow(machines.of(zone).keys)
+    }
+
+    private fun typesChanged(entry: ReplicaEntry?) {
+        if (entry != null) catalog.remembered(decodeRecord(MachineTypes.serializer(), entry.value).types)
+    }
+
+    private fun meanChanged(zone: String, entry: ReplicaEntry?) {
+        val view = views[zone] ?: return
+        val mean = if (entry ==
+            null
+        ) {
+            PartitionLoadRecord(0.0)
+        } else {
+            decodeRecord(PartitionLoadRecord.serializer(), entry.value)
+        }
+        view.mean = mean.mean
+        view.cores = mean.cores
+        view.needs = mean.needs
+        view.pressure = mean.pressure
+        view.ordinaryMean = mean.ordinaryMean
+        view.ordinaryCores = mean.ordinaryCores
+    }
+}
--- a/src/main/kotlin/io/otterknot/controller/RequestRouter.kt
+++ b/src/main/kotlin/io/otterknot/controller/RequestRouter.kt
@@ -1,12 +1,12 @@
 package io.otterknot.controller
 
-import io.otterknot.api.UserApi
-import io.otterknot.heartbeat.ReportEndpoint
+import io.otterknot.api.JobApi
+import io.otterknot.heartbeat.HeartbeatEndpoint
 import io.otterknot.http.HttpRequest
 import io.otterknot.http.HttpResponse
 
 /** Hands a request of a user, a worker or the load balancer to what answers it, by path and method. */
-class RequestRouter(private val users: UserApi, private val reports: ReportEndpoint) {
+class RequestRouter(private val users: JobApi, private val reports: HeartbeatEndpoint) {
     suspend fun route(request: HttpRequest): HttpResponse {
         val path = request.path
         if (path == "/v1/report") return allow(request, "POST") { reports.handle(request.body) }
--- a/src/main/kotlin/io/otterknot/heartbeat/ReportEndpoint.kt
+++ b/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
@@ -1,26 +1,26 @@
 package io.otterknot.heartbeat
 
 import io.otterknot.http.HttpResponse
-import io.otterknot.leadership.Ownership
+import io.otterknot.leadership.PartitionLeadership
+import io.otterknot.partition.HeartbeatDecision
 import io.otterknot.partition.Partition
-import io.otterknot.partition.ReportDecision
-import io.otterknot.wire.Commands
-import io.otterknot.wire.Malformed
-import io.otterknot.wire.Redirect
-import io.otterknot.wire.Report
-import io.otterknot.wire.parseReport
+import io.otterknot.wire.Heartbeat
+import io.otterknot.wire.HeartbeatResponse
+import io.otterknot.wire.LeaderRedirect
+import io.otterknot.wire.MalformedMessageException
+import io.otterknot.wire.parseHeartbeat
 
 /** Where workers' reports come in: answered by the owner of the machine's partition, redirected by everyone else. */
-class ReportEndpoint(
+class HeartbeatEndpoint(
     private val label: String,
-    private val ownership: Ownership,
+    private val ownership: PartitionLeadership,
     private val partitions: Map<String, Partition>,
     private val nowMs: () -> Long,
 ) {
     fun handle(body: ByteArray): HttpResponse {
         val report = try {
-            parseReport(body)
-        } catch (e: Malformed) {
+            parseHeartbeat(body)
+        } catch (e: MalformedMessageException) {
             return HttpResponse.refusal(400, e.message.orEmpty())
         }
         val zone = report.zone
@@ -30,9 +30,9 @@
         // Claimed, but not everything written before the claim has been read yet: no commands, only the new token.
         val partition = partitions[zone]?.takeIf { it.token == token } ?: return answer(token, emptyList())
         return when (val decision = partition.report(report, nowMs())) {
-            is ReportDecision.Answer -> answer(decision.token, decision.commands)
-            ReportDecision.Superseded -> lost(zone)
-            ReportDecision.Stale -> HttpResponse.refusal(503, "a newer report came before this one")
+            is HeartbeatDecision.Answer -> answer(decision.token, decision.commands)
+            HeartbeatDecision.Superseded -> lost(zone)
+            HeartbeatDecision.Stale -> HttpResponse.refusal(503, "a newer report came before this one")
         }
     }
 
@@ -41,7 +41,7 @@
         return HttpResponse.refusal(503, "$label has lost $zone")
     }
 
-    private fun elsewhere(report: Report): HttpResponse {
+    private fun elsewhere(report: Heartbeat): HttpResponse {
         val zone = report.zone
         val owner = ownership.ownerOf(zone)
         if (owner == null || owner == label) return HttpResponse.refusal(503, "nobody may act for $zone at the moment")
@@ -52,9 +52,9 @@
         ) {
             return HttpResponse.refusal(503, "$owner seems not to answer the workers of $zone")
         }
-        return HttpResponse.json(421, Redirect.serializer(), Redirect(owner))
+        return HttpResponse.json(421, LeaderRedirect.serializer(), LeaderRedirect(owner))
     }
 
     private fun answer(token: Long, commands: List<io.otterknot.wire.Command>) =
-        HttpResponse.json(200, Commands.serializer(), Commands(token, commands))
+        HttpResponse.json(200, HeartbeatResponse.serializer(), HeartbeatResponse(token, commands))
 }
--- a/src/main/kotlin/io/otterknot/jobs/Pipelines.kt
+++ b/src/main/kotlin/io/otterknot/jobs/DependencyGraph.kt
@@ -1,10 +1,10 @@
 package io.otterknot.jobs
 
-import io.otterknot.records.Final
+import io.otterknot.records.TerminalState
 import io.otterknot.wire.Priority
 
 /** What a job awaits, and the urgency that it inherits from the jobs that await it. */
-class Dependencies(val ids: Set<String>) {
+class JobDependencies(val ids: Set<String>) {
     /** Of the jobs awaited, those that are not durably done; more than that while not all of them have been read. */
     var unmet = ids.size
 
@@ -26,7 +26,7 @@
  * Work is done only where a job comes or becomes final, and along what that changes: chains may be long and fans wide,
  * so all walks keep a list of their own instead of calling themselves.
  */
-class Pipelines(private val job: (String) -> Job?) {
+class DependencyGraph(private val job: (String) -> Job?) {
     /** The jobs that directly await a job which is not done; only ever added to until it is. */
     private val waiters = HashMap<String, ArrayList<Job>>()
 
@@ -77,19 +77,19 @@
             pieces.remove(waiting.id)
             read.values.flatten()
         }
-        val dependencies = Dependencies(ids.toSet())
+        val dependencies = JobDependencies(ids.toSet())
         waiting.dependencies = dependencies
         for (id in dependencies.ids) {
             val awaited = job(id)
             when (awaited?.outcome) {
-                Final.DONE -> markDone(dependencies, awaited)
-                Final.CANCELLED -> dependencies.orphaned = true
+                TerminalState.DONE -> markDone(dependencies, awaited)
+                TerminalState.CANCELLED -> dependencies.orphaned = true
                 null -> waiters.getOrPut(id) { ArrayList() }.add(waiting)
             }
         }
     }
 
-    private fun markDone(dependencies: Dependencies, awaited: Job) {
+    private fun markDone(dependencies: JobDependencies, awaited: Job) {
         dependencies.unmet--
         dependencies.satisfiedMs = maxOf(dependencies.satisfiedMs, awaited.record?.endedMs ?: 0)
     }
@@ -102,7 +102,7 @@
             for (waiting in waiters.remove(over.id).orEmpty()) {
                 if (waiting.outcome != null) continue
                 touched.add(waiting)
-                if (over.outcome == Final.DONE) {
+                if (over.outcome == TerminalState.DONE) {
                     markDone(waiting.dependencies, over)
                 } else {
                     waiting.dependencies.orphaned = true
@@ -137,7 +137,7 @@
         )
     }
 
-    private fun set(dependencies: Dependencies, priority: Priority?, dueMs: Long?): Boolean {
+    private fun set(dependencies: JobDependencies, priority: Priority?, dueMs: Long?): Boolean {
         if (dependencies.inheritedPriority == priority && dependencies.inheritedDueMs == dueMs) return false
         dependencies.inheritedPriority = priority
         dependencies.inheritedDueMs = dueMs
--- a/src/main/kotlin/io/otterknot/jobs/JobTable.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTable.kt
@@ -1,13 +1,13 @@
 package io.otterknot.jobs
 
-import io.otterknot.records.AwaitsRecord
-import io.otterknot.records.DoneRecord
-import io.otterknot.records.Final
+import io.otterknot.records.CompletionSegmentRecord
+import io.otterknot.records.DependencySegmentRecord
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Keys
-import io.otterknot.records.TaskBits
+import io.otterknot.records.StoreKeys
+import io.otterknot.records.TaskBitmaps
+import io.otterknot.records.TerminalState
 import io.otterknot.records.decodeRecord
-import io.otterknot.store.Entry
+import io.otterknot.store.ReplicaEntry
 import io.otterknot.store.Snapshot
 import io.otterknot.wire.JobSpec
 import org.slf4j.LoggerFactory
@@ -20,22 +20,22 @@
     val record: JobRecord? get() = stored?.value
     val done = BitSet()
 
-    /** What it awaits, and what follows from that; see [Pipelines]. */
-    var dependencies = Dependencies(emptySet())
+    /** What it awaits, and what follows from that; see [DependencyGraph]. */
+    var dependencies = JobDependencies(emptySet())
 
     val spec: JobSpec? get() = record?.spec
-    val final: Final? get() = record?.final
+    val final: TerminalState? get() = record?.final
 
     /** Its final state, written or certain: what awaits a cancelled job can never run. */
-    val outcome: Final? get() = final ?: Final.CANCELLED.takeIf { dependencies.orphaned }
+    val outcome: TerminalState? get() = final ?: TerminalState.CANCELLED.takeIf { dependencies.orphaned }
     val live: Boolean get() = record?.spec != null && final == null
     val complete: Boolean get() = outcome == null && spec?.let { done.cardinality() >= it.tasks } ?: false
 
     /** The end that follows from what is durable, as long as it is not recorded. */
-    val unrecordedEnd: Final? get() = when {
+    val unrecordedEnd: TerminalState? get() = when {
         !live -> null
-        dependencies.orphaned -> Final.CANCELLED
-        complete -> Final.DONE
+        dependencies.orphaned -> TerminalState.CANCELLED
+        complete -> TerminalState.DONE
         else -> null
     }
 
@@ -50,8 +50,8 @@
 class JobTable {
     private val log = LoggerFactory.getLogger(JobTable::class.java)
     private val jobs = HashMap<String, Job>()
-    private val segments = HashMap<String, DoneRecord>()
-    private val pipelines = Pipelines { jobs[it] }
+    private val segments = HashMap<String, CompletionSegmentRecord>()
+    private val pipelines = DependencyGraph { jobs[it] }
     val live = LinkedHashMap<String, Job>()
 
     operator fun get(id: String): Job? = jobs[id]?.takeIf { it.record != null }
@@ -59,8 +59,8 @@
     private fun known(id: String) = jobs.getOrPut(id) { Job(id) }
 
     /** Takes a change of a job's own key; the job, and others of which something else holds now. */
-    fun changeJob(key: String, entry: Entry?): List<Job> {
-        val job = known(key.substring(Keys.JOBS.length))
+    fun changeJob(key: String, entry: ReplicaEntry?): List<Job> {
+        val job = known(key.substring(StoreKeys.JOBS.length))
         if (entry == null) return listOf(job)
         val earlier = job.final
         val ended = earlier != null
@@ -77,43 +77,43 @@
     }
 
     /** Takes a key with jobs that some job awaits. */
-    fun changeAwaits(key: String, entry: Entry?): List<Job> {
+    fun changeAwaits(key: String, entry: ReplicaEntry?): List<Job> {
         if (entry == null) return emptyList()
-        val path = key.substring(Keys.AWAITS.length)
+        val path = key.substring(StoreKeys.AWAITS.length)
         return pipelines.addAwaitedJobs(
             known(path.substringBefore('/')),
             path.substringAfter('/').toInt(),
-            decodeRecord(AwaitsRecord.serializer(), entry.value).jobs,
+            decodeRecord(DependencySegmentRecord.serializer(), entry.value).jobs,
         )
     }
 
     /** Takes a change of a segment of completions; the jobs of which tasks are newly done. */
-    fun changeDone(key: String, entry: Entry?): List<Job> {
+    fun changeDone(key: String, entry: ReplicaEntry?): List<Job> {
         if (entry == null) {
             segments.remove(key)
             return emptyList()
         }
-        val before = segments[key] ?: DoneRecord()
-        val record = decodeRecord(DoneRecord.serializer(), entry.value)
+        val before = segments[key] ?: CompletionSegmentRecord()
+        val record = decodeRecord(CompletionSegmentRecord.serializer(), entry.value)
         segments[key] = record
         val changed = LinkedHashSet<Job>()
         fun take(bits: Map<String, String>, known: Map<String, String>, size: Int) {
             for ((name, text) in bits) {
                 if (known[name] == text) continue
-                val job = known(TaskBits.job(name))
+                val job = known(TaskBitmaps.job(name))
                 if (job.final != null) continue
-                TaskBits.decodeInto(text, TaskBits.chunk(name), job.done, size)
+                TaskBitmaps.decodeInto(text, TaskBitmaps.chunk(name), job.done, size)
                 changed.add(job)
             }
         }
-        take(record.bits, before.bits, TaskBits.CHUNK)
-        take(record.fine.orEmpty(), before.fine.orEmpty(), TaskBits.FINE_CHUNK)
+        take(record.bits, before.bits, TaskBitmaps.CHUNK)
+        take(record.fine.orEmpty(), before.fine.orEmpty(), TaskBitmaps.FINE_CHUNK)
         return changed.toList()
     }
 
     /** The segments of completions under [prefix], by key. */
-    fun segments(prefix: String): Map<String, DoneRecord> = segments.filterKeys { it.startsWith(prefix) }
+    fun segments(prefix: String): Map<String, CompletionSegmentRecord> = segments.filterKeys { it.startsWith(prefix) }
 
     /** Whether a name in a segment still says something: its job is not over. */
-    fun matters(name: String): Boolean = jobs[TaskBits.job(name)]?.final == null
+    fun matters(name: String): Boolean = jobs[TaskBitmaps.job(name)]?.final == null
 }
--- a/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
@@ -1,12 +1,12 @@
 package io.otterknot.jobs
 
-import io.otterknot.records.AwaitsRecord
-import io.otterknot.records.Final
+import io.otterknot.records.DependencySegmentRecord
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Keys
-import io.otterknot.records.Spans
+import io.otterknot.records.StoreKeys
+import io.otterknot.records.TaskSpans
+import io.otterknot.records.TerminalState
 import io.otterknot.records.encodeRecord
-import io.otterknot.store.GuardedChange
+import io.otterknot.store.CompareAndSwap
 import io.otterknot.store.Snapshot
 import io.otterknot.store.WriteLimits
 import io.otterknot.store.valueBytes
@@ -23,73 +23,73 @@
      * Brings a job in: its own key and, if the jobs that it awaits do not fit there, keys with those; all in one
      * transaction, so that it is never there without them. Null: more than a transaction holds.
      */
-    fun accept(record: JobRecord, limits: WriteLimits): GuardedChange? {
+    fun accept(record: JobRecord, limits: WriteLimits): CompareAndSwap? {
         val spec = record.spec ?: return null
-        val key = Keys.job(spec.id)
+        val key = StoreKeys.job(spec.id)
         val whole = create(key, encode(record))
         if (limits.fits(whole)) return whole
         val pieces = pieces(spec.awaits ?: return null, limits.valueBytes)
         val main = create(key, encode(record.copy(spec = spec.copy(awaits = null), awaitKeys = pieces.size)))
         val lists = pieces.mapIndexed { number, piece ->
-            create(Keys.awaits(spec.id, number), encodeRecord(AwaitsRecord.serializer(), piece))
+            create(StoreKeys.awaits(spec.id, number), encodeRecord(DependencySegmentRecord.serializer(), piece))
         }
-        val all = lists.reduce(GuardedChange::plus) + main
+        val all = lists.reduce(CompareAndSwap::plus) + main
         val bytes = all.changes.sumOf { it.key.length + it.valueBytes }
         val fits = limits.fits(main) && all.size <= limits.txnOps && bytes <= limits.txnBytes
         return all.takeIf { fits }
     }
 
     /** Its user cancels it. Null: it has an outcome already, or was never accepted. */
-    fun cancel(job: Job, wallMs: Long, limits: WriteLimits): GuardedChange? =
-        if (job.outcome == null) end(job, Final.CANCELLED, wallMs, limits) else null
+    fun cancel(job: Job, wallMs: Long, limits: WriteLimits): CompareAndSwap? =
+        if (job.outcome == null) end(job, TerminalState.CANCELLED, wallMs, limits) else null
 
     /**
      * Records the outcome that follows from what is durable: done once all its tasks are, cancelled once a job that it
      * awaits is. Null: nothing follows yet, or its end is recorded.
      */
-    fun finish(job: Job, wallMs: Long, limits: WriteLimits): GuardedChange? =
+    fun finish(job: Job, wallMs: Long, limits: WriteLimits): CompareAndSwap? =
         job.unrecordedEnd?.let { end(job, it, wallMs, limits) }
 
     /** Gives [tasks] to the partition of [zone]. Null: it has an outcome already, or would be cut into too many spans. */
-    fun handOver(job: Job, tasks: BitSet, zone: String): GuardedChange? {
+    fun handOver(job: Job, tasks: BitSet, zone: String): CompareAndSwap? {
         val before = job.stored ?: return null
         val record = before.value ?: return null
         if (record.spec == null || job.outcome != null) return null
-        val spans = Spans.move(record.spans, tasks, zone)
+        val spans = TaskSpans.move(record.spans, tasks, zone)
         if (spans.size > MAX_SPANS) return null
-        return GuardedChange.put(before, encode(record.copy(spans = spans)))
+        return CompareAndSwap.put(before, encode(record.copy(spans = spans)))
     }
 
     /**
      * The keys with what it awaited go with the same transaction, as far as it may hold them; what is left of them says
      * nothing any more, since the job is final.
      */
-    private fun end(job: Job, final: Final, wallMs: Long, limits: WriteLimits): GuardedChange? {
+    private fun end(job: Job, final: TerminalState, wallMs: Long, limits: WriteLimits): CompareAndSwap? {
         val before = job.stored ?: return null
         val record = before.value ?: return null
         val ended = JobRecord(final = final, tasks = record.spec?.tasks ?: record.tasks, endedMs = wallMs)
         val lists = minOf(record.awaitKeys ?: 0, limits.txnOps - 1)
-        return GuardedChange.put(before, encode(ended)).andRemove(List(lists) { Keys.awaits(job.id, it) })
+        return CompareAndSwap.put(before, encode(ended)).andRemove(List(lists) { StoreKeys.awaits(job.id, it) })
     }
 
-    private fun create(key: String, value: JsonElement) = GuardedChange.put(Snapshot.absent(key), value)
+    private fun create(key: String, value: JsonElement) = CompareAndSwap.put(Snapshot.absent(key), value)
 
     private fun encode(record: JobRecord) = encodeRecord(JobRecord.serializer(), record)
 
-    private fun pieces(jobs: List<String>, valueBytes: Int): List<AwaitsRecord> {
-        val pieces = ArrayList<AwaitsRecord>()
+    private fun pieces(jobs: List<String>, valueBytes: Int): List<DependencySegmentRecord> {
+        val pieces = ArrayList<DependencySegmentRecord>()
         var piece = ArrayList<String>()
         var bytes = RECORD_OVERHEAD_BYTES
         for (job in jobs) {
             if (bytes + job.length > valueBytes && piece.isNotEmpty()) {
-                pieces.add(AwaitsRecord.of(piece))
+                pieces.add(DependencySegmentRecord.of(piece))
                 piece = ArrayList()
                 bytes = RECORD_OVERHEAD_BYTES
             }
             piece.add(job)
             bytes += job.length
         }
-        return pieces + AwaitsRecord.of(piece)
+        return pieces + DependencySegmentRecord.of(piece)
     }
 
     /** `{"i":""}` and a little more. */
--- a/src/main/kotlin/io/otterknot/leadership/OwnerTxn.kt
+++ b/src/main/kotlin/io/otterknot/leadership/FencedTransactions.kt
@@ -1,21 +1,21 @@
 package io.otterknot.leadership
 
 import io.otterknot.partition.Partition
-import io.otterknot.records.Keys
-import io.otterknot.store.GuardedChange
-import io.otterknot.store.Replica
-import io.otterknot.store.StateClient
-import io.otterknot.store.TxnOutcome
+import io.otterknot.records.StoreKeys
+import io.otterknot.store.CompareAndSwap
+import io.otterknot.store.KeyValueStoreClient
+import io.otterknot.store.StoreReplica
+import io.otterknot.store.TransactionOutcome
 import io.otterknot.store.WriteLimits
-import io.otterknot.wire.Guard
+import io.otterknot.wire.VersionCondition
 import kotlinx.coroutines.delay
 import kotlin.random.Random
 
 /** A change by a partition's owner that must be settled before the owner goes on. */
-class OwnerTxn(
-    private val client: StateClient,
-    private val replica: Replica,
-    private val ownership: Ownership,
+class FencedTransactions(
+    private val client: KeyValueStoreClient,
+    private val replica: StoreReplica,
+    private val ownership: PartitionLeadership,
     private val partitions: Map<String, Partition>,
     private val limits: WriteLimits,
     private val random: Random,
@@ -30,21 +30,21 @@
      * still be, and nothing else rules it out: the partition is then claimed anew, under a token that its guard does
      * not know.
      */
-    suspend fun settle(partition: Partition, change: GuardedChange): Settled {
-        val owner = Guard(Keys.partition(partition.zone), partition.token)
+    suspend fun settle(partition: Partition, change: CompareAndSwap): Settled {
+        val owner = VersionCondition(StoreKeys.partition(partition.zone), partition.token)
         val owned = change.onlyWhile(owner)
         var unanswered = false
         while (partitions[partition.zone] === partition) {
             client.budget.takeSpare(1, lesser = true)
             when (val outcome = client.txn(owned)) {
-                is TxnOutcome.Applied -> return shown(outcome.revision, partition, Settled.APPLIED)
+                is TransactionOutcome.Applied -> return shown(outcome.revision, partition, Settled.APPLIED)
 
-                is TxnOutcome.Conflict -> {
+                is TransactionOutcome.Conflict -> {
                     if (owner.key in outcome.failed) ownership.superseded(partition.zone)
                     return shown(outcome.revision, partition, Settled.NOT_APPLIED)
                 }
 
-                is TxnOutcome.Refused -> {
+                is TransactionOutcome.Refused -> {
                     if (outcome.tooLarge) {
                         limits.refused(change.changes)
                         if (!unanswered) return Settled.NOT_APPLIED
@@ -53,7 +53,7 @@
                     delay(400 + random.nextLong(600))
                 }
 
-                is TxnOutcome.Unknown -> {
+                is TransactionOutcome.Unknown -> {
                     unanswered = true
                     delay(400 + random.nextLong(600))
                 }
--- a/src/main/kotlin/io/otterknot/leadership/OwnerMonitor.kt
+++ b/src/main/kotlin/io/otterknot/leadership/LeaderFailureDetector.kt
@@ -7,12 +7,12 @@
  * Judges by the workers that come to this node whether the owners of other partitions still answer theirs.
  * [machineCount] is the number of machines registered in a zone, [nodes] the number of all nodes.
  */
-class OwnerMonitor(
+class LeaderFailureDetector(
     private val nodes: Int,
     private val random: Random,
     private val machineCount: (zone: String) -> Int,
 ) {
-    private val misdirected = MisdirectedWorkers()
+    private val misdirected = RedirectedWorkers()
     private val changedMs = HashMap<String, Long>()
     private val suspectedSinceMs = HashMap<String, Long>()
 
--- a/src/main/kotlin/io/otterknot/leadership/Ownership.kt
+++ b/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
@@ -1,16 +1,16 @@
 package io.otterknot.leadership
 
-import io.otterknot.records.Keys
-import io.otterknot.records.PartitionRecord
+import io.otterknot.records.LeaderRecord
+import io.otterknot.records.StoreKeys
 import io.otterknot.records.decodeRecord
 import io.otterknot.records.encodeRecord
-import io.otterknot.store.GuardedChange
-import io.otterknot.store.RenewOutcome
-import io.otterknot.store.Replica
+import io.otterknot.store.CompareAndSwap
+import io.otterknot.store.KeyValueStoreClient
+import io.otterknot.store.LeaseRenewal
 import io.otterknot.store.Snapshot
-import io.otterknot.store.StateClient
-import io.otterknot.store.TxnOutcome
-import io.otterknot.wire.Guard
+import io.otterknot.store.StoreReplica
+import io.otterknot.store.TransactionOutcome
+import io.otterknot.wire.VersionCondition
 import kotlinx.coroutines.delay
 import kotlinx.serialization.json.JsonPrimitive
 import org.slf4j.LoggerFactory
@@ -20,12 +20,12 @@
  * Which partitions this node owns. A partition's key hangs on this node's lease and was put by a guarded transaction,
  * whose revision is both the key's version and the token shown to workers: it rises with every change of owner.
  */
-class Ownership(
+class PartitionLeadership(
     private val label: String,
     private val zones: List<String>,
     private val domains: Map<String, String>,
-    private val client: StateClient,
-    private val replica: Replica,
+    private val client: KeyValueStoreClient,
+    private val replica: StoreReplica,
     private val ttlMs: Long,
     private val nowMs: () -> Long,
     private val random: Random,
@@ -39,13 +39,13 @@
      */
     private val mayClaim: () -> Boolean,
 ) {
-    private val log = LoggerFactory.getLogger(Ownership::class.java)
+    private val log = LoggerFactory.getLogger(PartitionLeadership::class.java)
     private val fence = Fence(ttlMs)
     private val incarnation = random.nextLong().toULong().toString(36)
     private var lease: Long? = null
     private val tokens = HashMap<String, Long>()
     private val unownedSince = HashMap<String, Long>()
-    private val monitor = OwnerMonitor(domains.size, random) { machines(it).size }
+    private val monitor = LeaderFailureDetector(domains.size, random) { machines(it).size }
 
     /**
      * A machine reports here and is sent to the owner of its partition. It has left that owner if it was with it, and
@@ -53,7 +53,7 @@
      * looks for it.
      */
     fun sentOn(zone: String, machine: String, token: Long) {
-        val leftOwner = machine in machines(zone) && token == replica[Keys.partition(zone)]?.version
+        val leftOwner = machine in machines(zone) && token == replica[StoreKeys.partition(zone)]?.version
         monitor.sent(zone, machine, leftOwner, nowMs())
     }
 
@@ -67,7 +67,7 @@
     fun token(zone: String): Long? = tokens[zone]?.takeIf { fence.holds(nowMs()) }
 
     /** Until when an earlier owner of [zone], claimed from it without its doing, may still act. */
-    val overrides = OverrideMarks(ttlMs, nowMs)
+    val overrides = TakeoverMarkers(ttlMs, nowMs)
 
     /** The token of [zone] whether or not the fence holds; guards of transactions need no fence. */
     fun claimed(zone: String): Long? = tokens[zone]
@@ -77,7 +77,7 @@
     /** Of all partitions, how many this node may act for now. */
     fun ownedShare(): Double = if (fence.holds(nowMs())) tokens.size.toDouble() / zones.size else 0.0
 
-    fun guard(zone: String): Guard? = tokens[zone]?.let { Guard(Keys.partition(zone), it) }
+    fun guard(zone: String): VersionCondition? = tokens[zone]?.let { VersionCondition(StoreKeys.partition(zone), it) }
 
     /** A worker or a failed guard has shown that somebody else owns the partition. */
     fun superseded(zone: String) {
@@ -110,11 +110,11 @@
             return lease != null
         }
         return when (client.renewLease(held)) {
-            RenewOutcome.Renewed -> true
+            LeaseRenewal.Renewed -> true
 
-            RenewOutcome.Failed -> false
+            LeaseRenewal.Failed -> false
 
-            RenewOutcome.Gone -> {
+            LeaseRenewal.Gone -> {
                 leaseEnded()
                 false
             }
@@ -147,19 +147,23 @@
         if (asked.isEmpty()) return client.revisionAtOnce()
         client.budget.takeAtOnce()
         return when (
-            val outcome = client.compare(asked.map { (zone, token) -> Guard(Keys.partition(zone), token) })
+            val outcome = client.compare(
+                asked.map { (zone, token) ->
+                    VersionCondition(StoreKeys.partition(zone), token)
+                },
+            )
         ) {
-            is TxnOutcome.Applied -> outcome.revision
+            is TransactionOutcome.Applied -> outcome.revision
 
-            is TxnOutcome.Conflict -> {
+            is TransactionOutcome.Conflict -> {
                 for ((zone, token) in asked) {
-                    val isLost = Keys.partition(zone) in outcome.failed
+                    val isLost = StoreKeys.partition(zone) in outcome.failed
                     if (isLost && tokens[zone] == token) superseded(zone)
                 }
                 null
             }
 
-            is TxnOutcome.Refused, is TxnOutcome.Unknown -> null
+            is TransactionOutcome.Refused, is TransactionOutcome.Unknown -> null
         }
     }
 
@@ -186,7 +190,7 @@
         onLoss(zone)
         client.budget.take(1)
         // If this is lost, the key still shows this node's label, and this node claims the partition again.
-        client.txn(GuardedChange.remove(Snapshot(Keys.partition(zone), zone, token)))
+        client.txn(CompareAndSwap.remove(Snapshot(StoreKeys.partition(zone), zone, token)))
         yieldedMs[zone] = nowMs()
     }
 
@@ -241,13 +245,13 @@
         claim(zone, before, held, overriding)
     }
 
-    private fun partitionKey(zone: String): Snapshot<PartitionRecord> =
-        replica.snapshot(Keys.partition(zone)).map { decodeRecord(PartitionRecord.serializer(), it) }
+    private fun partitionKey(zone: String): Snapshot<LeaderRecord> =
+        replica.snapshot(StoreKeys.partition(zone)).map { decodeRecord(LeaderRecord.serializer(), it) }
 
     /** The replica may lag behind the claim; only a newer key, or none after it, takes the partition away. */
     private fun checkStillOwned(zone: String) {
         val own = tokens[zone] ?: return
-        val shown = replica[Keys.partition(zone)]
+        val shown = replica[StoreKeys.partition(zone)]
         val isLost = if (shown != null) shown.version > own else replica.revision >= own
         if (isLost) superseded(zone)
     }
@@ -263,25 +267,25 @@
     }
 
     /** Claims the partition of [zone] as it was [before], on the lease [held]. */
-    private suspend fun claim(zone: String, before: Snapshot<PartitionRecord>, held: Long, overriding: Boolean) {
-        val record = encodeRecord(PartitionRecord.serializer(), PartitionRecord(label, incarnation))
-        val plain = GuardedChange.put(before, record, lease = held)
-        val claim = if (overriding) plain.andPut(Keys.override(zone), JsonPrimitive(incarnation)) else plain
+    private suspend fun claim(zone: String, before: Snapshot<LeaderRecord>, held: Long, overriding: Boolean) {
+        val record = encodeRecord(LeaderRecord.serializer(), LeaderRecord(label, incarnation))
+        val plain = CompareAndSwap.put(before, record, lease = held)
+        val claim = if (overriding) plain.andPut(StoreKeys.override(zone), JsonPrimitive(incarnation)) else plain
         client.budget.take(claim.size)
         when (val outcome = client.txn(claim)) {
-            is TxnOutcome.Applied -> {
+            is TransactionOutcome.Applied -> {
                 tokens[zone] = outcome.revision
                 unownedSince.remove(zone)
                 log.info("owner of {} with token {}", zone, outcome.revision)
                 onClaim(zone, outcome.revision, overriding)
             }
 
-            is TxnOutcome.Conflict -> replica.reach(outcome.revision, REACH_MS)
+            is TransactionOutcome.Conflict -> replica.reach(outcome.revision, REACH_MS)
 
-            is TxnOutcome.Refused -> if (outcome.status == 400) leaseEnded()
+            is TransactionOutcome.Refused -> if (outcome.status == 400) leaseEnded()
 
             // If it is carried out after all, the key shows this label and is claimed once more under a new token.
-            is TxnOutcome.Unknown -> log.info("claim of {} without an answer: {}", zone, outcome.why)
+            is TransactionOutcome.Unknown -> log.info("claim of {} without an answer: {}", zone, outcome.why)
         }
     }
 
--- a/src/main/kotlin/io/otterknot/leadership/MisdirectedWorkers.kt
+++ b/src/main/kotlin/io/otterknot/leadership/RedirectedWorkers.kt
@@ -6,7 +6,7 @@
  * owner that has crashed, or that its workers do not reach, is found out this way long before its lease ends, and
  * before theirs do.
  */
-class MisdirectedWorkers {
+class RedirectedWorkers {
     private class Seen(val sentMs: Long, val backMs: Long, val left: Boolean)
 
     private val byZone = HashMap<String, HashMap<String, Seen>>()
--- a/src/main/kotlin/io/otterknot/leadership/OverrideMarks.kt
+++ b/src/main/kotlin/io/otterknot/leadership/TakeoverMarkers.kt
@@ -5,7 +5,7 @@
  * moved last before that claim, and ends [ttlMs] later at most. A claim that came through late, and a claimant that
  * ended at once, leave the mark, and it counts from when this node saw it.
  */
-class OverrideMarks(private val ttlMs: Long, private val nowMs: () -> Long) {
+class TakeoverMarkers(private val ttlMs: Long, private val nowMs: () -> Long) {
     private val seenMs = HashMap<String, Long>()
 
     /** The replica shows that the mark of [zone] has come or gone. */
--- a/src/main/kotlin/io/otterknot/metrics/Figures.kt
+++ b/src/main/kotlin/io/otterknot/metrics/Metrics.kt
@@ -5,8 +5,8 @@
 import org.slf4j.LoggerFactory
 
 /** What this node has asked of the state service and how long things took, told once a minute. */
-class Figures(private val nowMs: () -> Long) {
-    private val log = LoggerFactory.getLogger(Figures::class.java)
+class Metrics(private val nowMs: () -> Long) {
+    private val log = LoggerFactory.getLogger(Metrics::class.java)
     private val counts = Object2LongCounterMap<String>(0L)
     private val times = HashMap<String, Histogram>()
     private var sinceMs = nowMs()
--- a/src/main/kotlin/io/otterknot/partition/AttemptLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/AttemptLedger.kt
@@ -1,16 +1,16 @@
 package io.otterknot.partition
 
 import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.AttemptPhase
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
-import io.otterknot.scheduling.Phase
 
 /**
  * Books attempts on machines, jobs and teams, and takes them off again. [onWaiting] is told when a task waits once more.
  */
 class AttemptLedger(
     private val token: Long,
-    private val teams: TeamLedger,
+    private val teams: TeamQuotaLedger,
     private val waitingWork: WaitingWork,
     private val onWaiting: () -> Unit,
 ) {
@@ -20,7 +20,7 @@
     fun nextId(): Long = (token shl ATTEMPT_BITS) or ++count
 
     /** [held] is the job whose [task] the attempt runs. */
-    fun book(machine: Machine, held: PartitionJob, task: Int, id: Long, phase: Phase, now: Long): Attempt {
+    fun book(machine: Machine, held: PartitionJob, task: Int, id: Long, phase: AttemptPhase, now: Long): Attempt {
         val attempt = Attempt(held, task, id, machine, phase, now)
         machine.attempts.put(id, attempt)
         machine.book(held.spec)
@@ -32,8 +32,8 @@
 
     /** The attempt holds nothing any more; what becomes of the task is the caller's matter. */
     fun release(attempt: Attempt) {
-        if (attempt.phase == Phase.EXITED) return
-        attempt.phase = Phase.EXITED
+        if (attempt.phase == AttemptPhase.EXITED) return
+        attempt.phase = AttemptPhase.EXITED
         val held = attempt.job
         val machine = attempt.machine
         machine.attempts.remove(attempt.id)
@@ -58,7 +58,7 @@
 
     /** What was only booked has never been sent, so it is free at once; the rest is told to stop. */
     fun stop(attempt: Attempt) {
-        if (attempt.phase != Phase.BOOKED) {
+        if (attempt.phase != AttemptPhase.BOOKED) {
             attempt.halt()
             return
         }
--- a/src/main/kotlin/io/otterknot/partition/FetchTimes.kt
+++ b/src/main/kotlin/io/otterknot/partition/FetchTimes.kt
@@ -1,7 +1,7 @@
 package io.otterknot.partition
 
+import io.otterknot.scheduling.AttemptPhase
 import io.otterknot.scheduling.Machine
-import io.otterknot.scheduling.Phase
 import io.otterknot.wire.JobSpec
 
 /** How long images take to fetch in a partition, against what the cloud says of its machines. */
@@ -22,7 +22,7 @@
 
     /** Several images fetched at a time may share the rate, which says nothing of one alone. */
     private fun isShared(machine: Machine, spec: JobSpec): Boolean =
-        machine.attempts.values.any { it.phase == Phase.FETCHING && it.job.spec.image != spec.image }
+        machine.attempts.values.any { it.phase == AttemptPhase.FETCHING && it.job.spec.image != spec.image }
 
     private companion object {
         const val SHORTEST_S = 0.5
--- a/src/main/kotlin/io/otterknot/partition/LastSeen.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatHistory.kt
@@ -1,13 +1,13 @@
 package io.otterknot.partition
 
-import io.otterknot.wire.Report
+import io.otterknot.wire.Heartbeat
 
 /**
  * How far machines that were let go had reported, the latest of them; late copies of reports show less. How many are
  * kept grows with the partition, now of [machineCount] machines: the more it has, the more come and go in the time
  * that a copy may be late.
  */
-class LastSeen(private val machineCount: () -> Int) {
+class HeartbeatHistory(private val machineCount: () -> Int) {
     private class Seen(val session: Long, val seq: Long)
 
     private val machines = object : LinkedHashMap<String, Seen>() {
@@ -25,7 +25,8 @@
     fun gone(id: String) = note(id, Long.MAX_VALUE, Long.MAX_VALUE)
 
     /** Whether [report] is newer than all that is known of its machine. */
-    fun isNews(report: Report): Boolean = machines[report.machine]?.let { report.newerThan(it.session, it.seq) } ?: true
+    fun isNews(report: Heartbeat): Boolean =
+        machines[report.machine]?.let { report.newerThan(it.session, it.seq) } ?: true
 
     private companion object {
         const val LEAST_KEPT = 4_096
--- a/src/main/kotlin/io/otterknot/partition/ReportReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatReconciler.kt
@@ -1,34 +1,34 @@
 package io.otterknot.partition
 
 import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.AttemptPhase
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
-import io.otterknot.scheduling.Phase
 import io.otterknot.wire.Command
 import io.otterknot.wire.ExitCause
 import io.otterknot.wire.TaskName
-import io.otterknot.wire.TaskReport
 import io.otterknot.wire.TaskState
+import io.otterknot.wire.TaskStatus
 import org.slf4j.LoggerFactory
 
 /**
  * Brings what is booked on a machine in line with what its report shows, and says what to answer. A report shows what
  * came of the commands of the answer before, since a worker has one report in flight and drops late answers.
  */
-class ReportReconciler(
+class HeartbeatReconciler(
     private val zone: String,
     private val attempts: AttemptLedger,
     private val job: (id: String) -> PartitionJob?,
-    private val slowTasks: SlowTaskDetector,
+    private val slowTasks: StragglerDetector,
     private val fetchTimes: FetchTimes = FetchTimes(),
 ) {
-    private val log = LoggerFactory.getLogger(ReportReconciler::class.java)
+    private val log = LoggerFactory.getLogger(HeartbeatReconciler::class.java)
 
     /** Takes what a report says of one task, and adds what to answer. */
-    fun reconcile(machine: Machine, entry: TaskReport, seq: Long, now: Long, commands: MutableList<Command>) {
+    fun reconcile(machine: Machine, entry: TaskStatus, seq: Long, now: Long, commands: MutableList<Command>) {
         val exited = entry.state == TaskState.EXITED
         val known = machine.attempts.get(entry.attempt)
-        if (known != null && known.phase == Phase.SENT) machine.lostAnswers = 0
+        if (known != null && known.phase == AttemptPhase.SENT) machine.lostAnswers = 0
         val number = known?.task ?: TaskName.parse(entry.task).number
         val held = known?.job ?: job(entry.task.substringBefore('/'))
         if (held == null || (held.over && exited)) {
@@ -51,19 +51,19 @@
         }
         attempt.shownSeq = seq
         val phase = when (entry.state) {
-            TaskState.FETCHING -> Phase.FETCHING
-            TaskState.SAVING -> Phase.SAVING
-            else -> Phase.RUNNING
+            TaskState.FETCHING -> AttemptPhase.FETCHING
+            TaskState.SAVING -> AttemptPhase.SAVING
+            else -> AttemptPhase.RUNNING
         }
         if (phase != attempt.phase) {
-            if (phase == Phase.RUNNING) {
+            if (phase == AttemptPhase.RUNNING) {
                 // Only of a task that was seen to fetch or to be sent is it known how long it has run.
-                attempt.ran = attempt.phase != Phase.SENT || attempt.started
-                if (attempt.phase == Phase.FETCHING) fetchTimes.fetched(machine, held.spec, now - attempt.since)
+                attempt.ran = attempt.phase != AttemptPhase.SENT || attempt.started
+                if (attempt.phase == AttemptPhase.FETCHING) fetchTimes.fetched(machine, held.spec, now - attempt.since)
                 attempt.since = now
                 held.begun = true
             }
-            if (phase == Phase.SAVING) attempt.savingSinceMs = now
+            if (phase == AttemptPhase.SAVING) attempt.savingSinceMs = now
             machine.uses(held.spec)
             attempt.phase = phase
         }
@@ -73,7 +73,7 @@
         machine: Machine,
         held: PartitionJob,
         task: Int,
-        entry: TaskReport,
+        entry: TaskStatus,
         known: Attempt?,
         now: Long,
         commands: MutableList<Command>,
@@ -118,7 +118,7 @@
     }
 
     /** A machine shows a task that an earlier owner started. */
-    private fun adopt(machine: Machine, held: PartitionJob, task: Int, entry: TaskReport, now: Long): Attempt? {
+    private fun adopt(machine: Machine, held: PartitionJob, task: Int, entry: TaskStatus, now: Long): Attempt? {
         // A report that was held back may show a task that has long been given up here and is leaving for another
         // partition: taken back, it would start in both.
         if (!held.unheld(task)) {
@@ -133,7 +133,7 @@
         }
         held.pending.clear(task)
         held.doubtful.clear(task)
-        return attempts.book(machine, held, task, entry.attempt, Phase.SENT, now)
+        return attempts.book(machine, held, task, entry.attempt, AttemptPhase.SENT, now)
     }
 
     /**
@@ -144,8 +144,8 @@
         var lost = false
         if (machine.attempts.isNotEmpty()) {
             for (attempt in machine.attempts.values.toList()) {
-                if (attempt.shownSeq == machine.seq || attempt.phase == Phase.BOOKED) continue
-                lost = lost || attempt.phase == Phase.SENT
+                if (attempt.shownSeq == machine.seq || attempt.phase == AttemptPhase.BOOKED) continue
+                lost = lost || attempt.phase == AttemptPhase.SENT
                 attempts.release(attempt)
                 attempts.requeue(attempt)
             }
@@ -159,9 +159,9 @@
      */
     fun leave(machine: Machine, noticeS: Double, now: Long) {
         for (attempt in machine.attempts.values.toList()) {
-            if (attempt.phase == Phase.BOOKED) {
+            if (attempt.phase == AttemptPhase.BOOKED) {
                 attempts.stop(attempt)
-            } else if (attempt.phase != Phase.SAVING && attempt.expectedMs(now) > noticeS * 1000) {
+            } else if (attempt.phase != AttemptPhase.SAVING && attempt.expectedMs(now) > noticeS * 1000) {
                 attempt.halt()
             }
         }
@@ -171,10 +171,10 @@
     fun addCommands(machine: Machine, now: Long, commands: MutableList<Command>) {
         for (attempt in machine.attempts.values) {
             when {
-                attempt.halting && attempt.phase != Phase.BOOKED -> halt(attempt, now)?.let(commands::add)
+                attempt.halting && attempt.phase != AttemptPhase.BOOKED -> halt(attempt, now)?.let(commands::add)
 
-                attempt.phase == Phase.BOOKED -> {
-                    attempt.phase = Phase.SENT
+                attempt.phase == AttemptPhase.BOOKED -> {
+                    attempt.phase = AttemptPhase.SENT
                     attempt.started = true
                     attempt.since = now
                     commands.add(Command.start(attempt.name, attempt.id))
--- a/src/main/kotlin/io/otterknot/partition/Dense.kt
+++ b/src/main/kotlin/io/otterknot/partition/NameIndex.kt
@@ -3,7 +3,7 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
 /** Names mapped to dense indices: what has a name, without gaps; the last one takes the place of one that leaves. */
-class Dense<T : Any>(private val nameOf: (T) -> String) {
+class NameIndex<T : Any>(private val nameOf: (T) -> String) {
     private val slots = Object2IntOpenHashMap<String>().apply { defaultReturnValue(-1) }
     private val items = ArrayList<T>()
     val all: List<T> get() = items
--- a/src/main/kotlin/io/otterknot/partition/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -1,39 +1,39 @@
 package io.otterknot.partition
 
 import io.otterknot.jobs.Job
-import io.otterknot.records.Amount
-import io.otterknot.scheduling.Aims
+import io.otterknot.records.QuotaAmount
 import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.AttemptPhase
 import io.otterknot.scheduling.ImageCounts
-import io.otterknot.scheduling.Ledger
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
-import io.otterknot.scheduling.Phase
+import io.otterknot.scheduling.PlacementLedger
 import io.otterknot.scheduling.Resources
 import io.otterknot.scheduling.Scheduler
+import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.wire.Command
+import io.otterknot.wire.Heartbeat
 import io.otterknot.wire.MachineType
-import io.otterknot.wire.Report
 import io.otterknot.wire.TaskState
 import org.slf4j.LoggerFactory
 import java.util.BitSet
 import kotlin.random.Random
 
 /** What to answer a worker's report with. */
-sealed interface ReportDecision {
-    data class Answer(val token: Long, val commands: List<Command>) : ReportDecision
+sealed interface HeartbeatDecision {
+    data class Answer(val token: Long, val commands: List<Command>) : HeartbeatDecision
 
     /** The worker has seen a higher token: this owner is no longer entitled to its partition. */
-    data object Superseded : ReportDecision
+    data object Superseded : HeartbeatDecision
 
     /** An older report than one seen already. */
-    data object Stale : ReportDecision
+    data object Stale : HeartbeatDecision
 }
 
 /** What a partition needs to know of a team: what it may use here, and its share of a contended partition. */
-class TeamShare(val name: String, val weight: Double, var allotment: Amount)
+class TeamQuota(val name: String, val weight: Double, var allotment: QuotaAmount)
 
-class PartitionTimings(val leaseMs: Long, val marginMs: Long = 700, val answerMs: Long = 4_000) {
+class LeaseTimings(val leaseMs: Long, val marginMs: Long = 700, val answerMs: Long = 4_000) {
     /** A machine's lease, on any clock that keeps to the protocol's drift, has ended after this long. */
     val surelyOverMs: Long get() = leaseMs + leaseMs / 500 + marginMs
 
@@ -58,19 +58,19 @@
     private val claimedMs: Long,
     /** Until when an earlier owner may have given answers to the machines. */
     val othersUntilMs: Long,
-    private val times: PartitionTimings,
+    private val times: LeaseTimings,
     random: Random,
-    aims: Aims,
+    aims: ServiceLevelObjectives,
     private val wallOf: (Long) -> Long,
     private val typeOf: (String) -> MachineType?,
-    teamShares: List<TeamShare>,
+    teamShares: List<TeamQuota>,
     /** Machines that the partition's owners have registered, with their types. */
     registeredMachines: Map<String, String>,
 ) {
     private val log = LoggerFactory.getLogger(Partition::class.java)
-    private val machineByName = Dense<Machine> { it.id }
+    private val machineByName = NameIndex<Machine> { it.id }
     private val machineList get() = machineByName.all
-    private val jobByName = Dense<PartitionJob> { it.id }
+    private val jobByName = NameIndex<PartitionJob> { it.id }
     private val jobList get() = jobByName.all
 
     /** Machines that an earlier owner had registered and that have not shown [token] yet. */
@@ -83,7 +83,7 @@
      */
     private val withUnknownTasks = UnreconciledMachines(emptyMap(), typeOf)
     private val health = MachineHealth({ machineList }, { machine(it) != null }, unreconciled)
-    private val teams = TeamLedger(teamShares, ::unknownAmount)
+    private val teams = TeamQuotaLedger(teamShares, ::unknownAmount)
 
     /** What waits, by team; followed only where somebody asks for it. */
     val waitingWork = WaitingWork(teamShares.size)
@@ -99,11 +99,11 @@
     val load = PartitionLoad({ machineList }, { jobList }, teams)
 
     /** How far machines that were let go had reported: a copy of an older report must not bring one back. */
-    private val lastSeen = LastSeen { machineList.size }
+    private val lastSeen = HeartbeatHistory { machineList.size }
     var settled = false
         private set
 
-    private val ledger: Ledger = object : Ledger {
+    private val ledger: PlacementLedger = object : PlacementLedger {
         override val machines get() = machineList
         override val jobs get() = jobList
         override fun startable(job: PartitionJob) = this@Partition.startable(job)
@@ -111,14 +111,14 @@
         override fun book(job: PartitionJob, machine: Machine, now: Long): Attempt {
             val task = job.pending.nextSetBit(0)
             job.pending.clear(task)
-            return attempts.book(machine, job, task, attempts.nextId(), Phase.BOOKED, now)
+            return attempts.book(machine, job, task, attempts.nextId(), AttemptPhase.BOOKED, now)
         }
 
         override fun stop(attempt: Attempt) = attempts.stop(attempt)
     }
     private val scheduler: Scheduler = Scheduler(ledger, aims, wallOf, random)
-    private val slowTasks = SlowTaskDetector(zone)
-    private val reconciler = ReportReconciler(zone, attempts, ::job, slowTasks, fetchTimes)
+    private val slowTasks = StragglerDetector(zone)
+    private val reconciler = HeartbeatReconciler(zone, attempts, ::job, slowTasks, fetchTimes)
 
     /** The names of the teams; their places are the indices that [PartitionJob.team] gives. */
     val teamNames: List<String> get() = teams.names
@@ -222,7 +222,7 @@
         scheduler.order.invalidate()
         for (attempt in held.active.values.toList()) {
             // What was only booked has never been sent, so it is free at once; the rest is told to stop.
-            if (attempt.phase == Phase.BOOKED) attempts.release(attempt) else attempt.halt()
+            if (attempt.phase == AttemptPhase.BOOKED) attempts.release(attempt) else attempt.halt()
         }
     }
 
@@ -339,14 +339,14 @@
 
     // ---- reports ----------------------------------------------------------------------------------------------
 
-    fun report(report: Report, now: Long): ReportDecision {
-        if (report.token > token) return ReportDecision.Superseded
-        val type = typeOf(report.type) ?: return ReportDecision.Answer(token, emptyList())
+    fun report(report: Heartbeat, now: Long): HeartbeatDecision {
+        if (report.token > token) return HeartbeatDecision.Superseded
+        val type = typeOf(report.type) ?: return HeartbeatDecision.Answer(token, emptyList())
         val known = machine(report.machine)
         // Packets may be held back and delivered late, and copies of them: only a newer report says anything, also of a
         // machine that has been let go.
         val news = if (known != null) report.newerThan(known.session, known.seq) else lastSeen.isNews(report)
-        if (!news) return ReportDecision.Stale
+        if (!news) return HeartbeatDecision.Stale
         val machine = known ?: Machine(report.machine, type, report.spot, imageCounts).also {
             machineByName.add(it)
             it.registered = it.id in registered
@@ -366,7 +366,7 @@
         health.forget(machine.id)
         if (report.token < token) {
             unknowing(machine, known != null, now)
-            return ReportDecision.Answer(token, emptyList())
+            return HeartbeatDecision.Answer(token, emptyList())
         }
         machine.leaseFromMs = now
         if (!machine.reconciled) {
@@ -386,7 +386,7 @@
         machine.reported(machine.bookedShare(), machine.attempts.isEmpty() && machine.usable)
         if (machine.deaf) probe(machine, now) else scheduler.placeOn(machine, now)
         reconciler.addCommands(machine, now, commands)
-        return ReportDecision.Answer(token, commands)
+        return HeartbeatDecision.Answer(token, commands)
     }
 
     /**
@@ -449,24 +449,24 @@
         if (changed) scheduler.invalidate()
     }
 
-    fun allot(name: String, allotment: Amount) {
+    fun allot(name: String, allotment: QuotaAmount) {
         if (teams.allot(name, allotment)) scheduler.invalidate()
     }
 
     /** What the waiting tasks of a team need here beyond the allotment; nothing while it lets one of each start. */
-    fun need(name: String): Amount = teams.need(name, jobList)
+    fun need(name: String): QuotaAmount = teams.need(name, jobList)
 
     /** What this partition can give of a team's allotment to the partition of [to]. */
-    fun spare(name: String, to: String): Amount =
-        if (settled) teams.spare(name, jobList, toEarlierZone = to < zone) else Amount()
+    fun spare(name: String, to: String): QuotaAmount =
+        if (settled) teams.spare(name, jobList, toEarlierZone = to < zone) else QuotaAmount()
 
-    private fun unknownAmount(): Amount? {
+    private fun unknownAmount(): QuotaAmount? {
         val inherited = unreconciled.amount() ?: return null
         return inherited + (withUnknownTasks.amount() ?: return null)
     }
 
     fun runningTasks(jobId: String): Int =
-        job(jobId)?.active?.values?.count { it.phase == Phase.RUNNING || it.phase == Phase.SAVING } ?: 0
+        job(jobId)?.active?.values?.count { it.phase == AttemptPhase.RUNNING || it.phase == AttemptPhase.SAVING } ?: 0
 
     private companion object {
         const val PROBE_MS = 3_000L
--- a/src/main/kotlin/io/otterknot/partition/PartitionLoad.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionLoad.kt
@@ -1,8 +1,8 @@
 package io.otterknot.partition
 
+import io.otterknot.scheduling.AttemptPhase
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
-import io.otterknot.scheduling.Phase
 import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 
@@ -10,7 +10,7 @@
 class PartitionLoad(
     private val machines: () -> List<Machine>,
     private val jobs: () -> List<PartitionJob>,
-    private val teams: TeamLedger,
+    private val teams: TeamQuotaLedger,
 ) {
     val totalCores: Double get() = machines().sumOf { if (it.serving) it.type.cores else 0.0 }
 
@@ -38,7 +38,7 @@
     fun ordinaryMean(): Double = demand { !it.spot } / maxOf(ordinaryCores, 1.0)
 
     /** What the booked cores are doing. */
-    fun coresByPhase(): Map<Phase, Double> = machines()
+    fun coresByPhase(): Map<AttemptPhase, Double> = machines()
         .flatMap { it.attempts.values }
         .groupBy { it.phase }
         .mapValues { (_, attempts) -> attempts.sumOf { it.job.spec.cores } }
--- a/src/main/kotlin/io/otterknot/partition/SlowTaskDetector.kt
+++ b/src/main/kotlin/io/otterknot/partition/StragglerDetector.kt
@@ -1,13 +1,13 @@
 package io.otterknot.partition
 
 import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.AttemptPhase
 import io.otterknot.scheduling.Machine
-import io.otterknot.scheduling.Phase
 import org.slf4j.LoggerFactory
 
 /** Finds machines that run their tasks far slower than others, and tasks that run far longer than their like. */
-class SlowTaskDetector(private val zone: String) {
-    private val log = LoggerFactory.getLogger(SlowTaskDetector::class.java)
+class StragglerDetector(private val zone: String) {
+    private val log = LoggerFactory.getLogger(StragglerDetector::class.java)
 
     /** How long tasks that completed here ran, the recent ones counting most; null: none has yet. */
     var meanRunMs: Double? = null
@@ -29,7 +29,7 @@
      */
     fun stopStragglers(machine: Machine, now: Long) {
         for (attempt in machine.attempts.values) {
-            if (attempt.phase != Phase.RUNNING || attempt.halting || !attempt.ran) continue
+            if (attempt.phase != AttemptPhase.RUNNING || attempt.halting || !attempt.ran) continue
             val job = attempt.job
             val ratio = job.runs.ratio(now - attempt.since) ?: continue
             val limit = if (machine.slowness.slow) SLOW_MACHINE_RATIO else SINGLE_TASK_RATIO
--- a/src/main/kotlin/io/otterknot/partition/TeamLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/TeamQuotaLedger.kt
@@ -1,6 +1,6 @@
 package io.otterknot.partition
 
-import io.otterknot.records.Amount
+import io.otterknot.records.QuotaAmount
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
 import io.otterknot.scheduling.Resources
@@ -12,7 +12,7 @@
  * the settings do not name. [unknown] is what machines may hold of which it is not known what is on them; null: not
  * known either, so nothing can be said to be left.
  */
-class TeamLedger(private val teams: List<TeamShare>, private val unknown: () -> Amount?) {
+class TeamQuotaLedger(private val teams: List<TeamQuota>, private val unknown: () -> QuotaAmount?) {
     private val indexByName = Object2IntOpenHashMap<String>().apply {
         defaultReturnValue(-1)
         teams.forEachIndexed { index, team -> put(team.name, index) }
@@ -44,7 +44,7 @@
     }
 
     /** Whether the team is known. */
-    fun allot(name: String, allotment: Amount): Boolean {
+    fun allot(name: String, allotment: QuotaAmount): Boolean {
         val team = index(name)
         if (team < 0) return false
         teams[team].allotment = allotment
@@ -55,9 +55,9 @@
      * What a team may still use. A machine that is not known yet, or that shows a task not booked here, may be full of
      * its tasks, also of jobs that are over: until it is known what is there, all of that machine counts as used.
      */
-    fun left(team: Int): Amount {
-        val left = teams[team].allotment - Amount(usedCores[team], usedCards[team])
-        return left - (unknown() ?: return Amount())
+    fun left(team: Int): QuotaAmount {
+        val left = teams[team].allotment - QuotaAmount(usedCores[team], usedCards[team])
+        return left - (unknown() ?: return QuotaAmount())
     }
 
     /** How many tasks like [spec] the team may start, at most [wanted]. */
@@ -70,12 +70,12 @@
     }
 
     /** What the waiting tasks of a team need beyond the allotment; nothing while it lets one of each start. */
-    fun need(name: String, jobs: List<PartitionJob>): Amount {
+    fun need(name: String, jobs: List<PartitionJob>): QuotaAmount {
         val team = index(name)
-        if (team < 0) return Amount()
+        if (team < 0) return QuotaAmount()
         val left = left(team)
         val waiting = waiting(team, jobs)
-        if (waiting.all { left.covers(it.spec) }) return Amount()
+        if (waiting.all { left.covers(it.spec) }) return QuotaAmount()
         return (needed(waiting) - left).atLeastZero()
     }
 
@@ -83,9 +83,9 @@
      * What can be given of a team's allotment: what nothing here waits for, or, if [toEarlierZone], what is too little
      * for any task here; only in one direction, or two partitions would hold each half of what a task needs.
      */
-    fun spare(name: String, jobs: List<PartitionJob>, toEarlierZone: Boolean): Amount {
+    fun spare(name: String, jobs: List<PartitionJob>, toEarlierZone: Boolean): QuotaAmount {
         val team = index(name)
-        if (team < 0) return Amount()
+        if (team < 0) return QuotaAmount()
         val left = left(team)
         val waiting = waiting(team, jobs)
         val isUseless = toEarlierZone && waiting.isNotEmpty() && waiting.none { left.covers(it.spec) }
@@ -99,9 +99,10 @@
     private fun waiting(team: Int, jobs: List<PartitionJob>) = jobs.filter { it.team == team && !it.pending.isEmpty }
 
     private fun needed(waiting: List<PartitionJob>) =
-        Amount(waiting.sumOf { it.waiting * it.spec.cores }, waiting.sumOf { it.waiting * it.spec.cards })
+        QuotaAmount(waiting.sumOf { it.waiting * it.spec.cores }, waiting.sumOf { it.waiting * it.spec.cards })
 
-    private fun Amount.covers(spec: JobSpec) = spec.cores <= cores + Machine.EPS && spec.cards <= cards + Machine.EPS
+    private fun QuotaAmount.covers(spec: JobSpec) =
+        spec.cores <= cores + Machine.EPS && spec.cards <= cards + Machine.EPS
 
-    private fun Amount.atLeastZero() = Amount(maxOf(0.0, cores), maxOf(0.0, cards))
+    private fun QuotaAmount.atLeastZero() = QuotaAmount(maxOf(0.0, cores), maxOf(0.0, cards))
 }
--- a/src/main/kotlin/io/otterknot/partition/UnreconciledMachines.kt
+++ b/src/main/kotlin/io/otterknot/partition/UnreconciledMachines.kt
@@ -1,6 +1,6 @@
 package io.otterknot.partition
 
-import io.otterknot.records.Amount
+import io.otterknot.records.QuotaAmount
 import io.otterknot.wire.MachineType
 
 /** Machines of which all counts as used since it is not known what is on them, with their types. */
@@ -11,7 +11,7 @@
      * What all of them have, added up once: each waiting job asks for it in each pass, and after all controllers have
      * ended there are as many unreconciled as machines. Null while some type is not known.
      */
-    private var added: Amount? = null
+    private var added: QuotaAmount? = null
 
     val size: Int get() = types.size
     val empty: Boolean get() = types.isEmpty()
@@ -24,7 +24,7 @@
 
     fun remove(id: String): Boolean {
         val type = types.remove(id) ?: return false
-        added = added?.minus(amountOf(type) ?: Amount())
+        added = added?.minus(amountOf(type) ?: QuotaAmount())
         return true
     }
 
@@ -36,9 +36,12 @@
     fun filter(wanted: (id: String) -> Boolean): Map<String, String> = types.filterKeys(wanted)
 
     /** What they may hold together; null: not known, so nothing can be said to be left. */
-    fun amount(): Amount? = added ?: addUp().also { added = it }
+    fun amount(): QuotaAmount? = added ?: addUp().also { added = it }
 
-    private fun amountOf(type: String): Amount? = typeOf(type)?.let { Amount(it.cores, it.cards) }
+    private fun amountOf(type: String): QuotaAmount? = typeOf(type)?.let { QuotaAmount(it.cores, it.cards) }
 
-    private fun addUp(): Amount? = types.values.fold(Amount()) { sum, type -> sum + (amountOf(type) ?: return null) }
+    private fun addUp(): QuotaAmount? = types.values.fold(QuotaAmount()) { sum, type ->
+        sum +
+            (amountOf(type) ?: return null)
+    }
 }
--- a/src/main/kotlin/io/otterknot/peer/Announcer.kt
+++ b/src/main/kotlin/io/otterknot/peer/IdlePartitionAnnouncer.kt
@@ -8,7 +8,7 @@
  * Announces this node's partitions with idle machines, and withdraws them once none is idle (DESIGN; Saqr, section
  * 3.2).
  */
-class Announcer(
+class IdlePartitionAnnouncer(
     private val label: String,
     private val own: IdlePartitions,
     private val peers: Map<String, PeerTransport>,
--- a/src/main/kotlin/io/otterknot/peer/PeerLink.kt
+++ b/src/main/kotlin/io/otterknot/peer/PeerLink.kt
@@ -6,7 +6,7 @@
 import io.otterknot.net.TcpConnection
 import io.otterknot.net.TcpListener
 import io.otterknot.store.Relay
-import io.otterknot.wire.Malformed
+import io.otterknot.wire.MalformedMessageException
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.TimeoutCancellationException
@@ -19,7 +19,7 @@
 private suspend fun readMessage(connection: TcpConnection): PeerMessage {
     if (!connection.receive(Int.SIZE_BYTES.toLong())) throw EOFException()
     val size = connection.input.readInt()
-    if (size !in 1..PeerCodec.MAX_FRAME) throw Malformed("frame of $size bytes")
+    if (size !in 1..PeerCodec.MAX_FRAME) throw MalformedMessageException("frame of $size bytes")
     if (!connection.receive(size.toLong())) throw EOFException()
     return PeerCodec.decode(connection.input.readByteArray(size.toLong()))
 }
--- a/src/main/kotlin/io/otterknot/peer/PeerMessages.kt
+++ b/src/main/kotlin/io/otterknot/peer/PeerMessages.kt
@@ -1,6 +1,6 @@
 package io.otterknot.peer
 
-import io.otterknot.wire.Malformed
+import io.otterknot.wire.MalformedMessageException
 import okio.Buffer
 
 /** What controllers tell each other. Each is answered with [Known], or a [Carry] with [Carried]. */
@@ -65,7 +65,7 @@
         return Buffer().writeInt(body.size.toInt()).also { it.writeAll(body) }.readByteArray()
     }
 
-    /** Reads the body of one frame; what is not a message is [Malformed]. */
+    /** Reads the body of one frame; what is not a message is [MalformedMessageException]. */
     fun decode(body: ByteArray): PeerMessage {
         val buffer = Buffer().write(body)
         try {
@@ -91,10 +91,10 @@
 
                 else -> return PeerMessage.Unknown(kind)
             }
-            if (!buffer.exhausted()) throw Malformed("bytes after the message")
+            if (!buffer.exhausted()) throw MalformedMessageException("bytes after the message")
             return message
         } catch (e: java.io.EOFException) {
-            throw Malformed("message cut short")
+            throw MalformedMessageException("message cut short")
         }
     }
 
--- a/src/main/kotlin/io/otterknot/quota/Allotments.kt
+++ b/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
@@ -1,18 +1,18 @@
 package io.otterknot.quota
 
-import io.otterknot.config.TeamFacts
-import io.otterknot.leadership.OwnerTxn
-import io.otterknot.leadership.Ownership
+import io.otterknot.config.TeamSettings
+import io.otterknot.leadership.FencedTransactions
+import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.partition.Partition
-import io.otterknot.records.AllotmentRecord
-import io.otterknot.records.Amount
-import io.otterknot.records.Keys
+import io.otterknot.records.QuotaAmount
+import io.otterknot.records.QuotaSharesRecord
+import io.otterknot.records.StoreKeys
 import io.otterknot.records.decodeRecord
 import io.otterknot.records.encodeRecord
 import io.otterknot.scheduling.PartitionView
-import io.otterknot.store.GuardedChange
-import io.otterknot.store.Replica
+import io.otterknot.store.CompareAndSwap
 import io.otterknot.store.Snapshot
+import io.otterknot.store.StoreReplica
 import io.otterknot.store.WriteLimits
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
@@ -22,36 +22,36 @@
  * Divides each team's limit among the partitions. Only the giver lowers its allotment: it stops using what it gives
  * before it asks for the transaction, so at no moment can the partitions together use more than the limit.
  */
-class Allotments(
-    private val txn: OwnerTxn,
-    private val replica: Replica,
-    private val ownership: Ownership,
+class QuotaShares(
+    private val txn: FencedTransactions,
+    private val replica: StoreReplica,
+    private val ownership: PartitionLeadership,
     private val partitions: Map<String, Partition>,
     private val views: Map<String, PartitionView>,
     private val limits: WriteLimits,
-    private val teams: List<TeamFacts>,
+    private val teams: List<TeamSettings>,
     private val zones: List<String>,
     private val random: Random,
 ) {
-    private val log = LoggerFactory.getLogger(Allotments::class.java)
+    private val log = LoggerFactory.getLogger(QuotaShares::class.java)
 
     /** Parts and teams with a gift whose outcome is not known: their allotment stays lowered meanwhile. */
     private val giving = HashSet<Pair<String, String>>()
 
-    fun of(team: String): AllotmentRecord = snapshot(team).value ?: even(team)
+    fun of(team: String): QuotaSharesRecord = snapshot(team).value ?: even(team)
 
-    private fun snapshot(team: String): Snapshot<AllotmentRecord> =
-        replica.snapshot(Keys.allotment(team)).map { decodeRecord(AllotmentRecord.serializer(), it) }
+    private fun snapshot(team: String): Snapshot<QuotaSharesRecord> =
+        replica.snapshot(StoreKeys.allotment(team)).map { decodeRecord(QuotaSharesRecord.serializer(), it) }
 
     /** What holds until something has been given. */
-    private fun even(team: String): AllotmentRecord =
-        teams.first { it.name == team }.let { AllotmentRecord.even(zones, it.cpusMax, it.gpusMax) }
+    private fun even(team: String): QuotaSharesRecord =
+        teams.first { it.name == team }.let { QuotaSharesRecord.even(zones, it.cpusMax, it.gpusMax) }
 
     fun changed(team: String) {
         if (teams.none { it.name == team }) return
         val record = of(team)
         for (partition in partitions.values) {
-            if (partition.zone to team !in giving) partition.allot(team, record.byZone[partition.zone] ?: Amount())
+            if (partition.zone to team !in giving) partition.allot(team, record.byZone[partition.zone] ?: QuotaAmount())
         }
     }
 
@@ -70,17 +70,17 @@
         val need = receiver.needs.getValue(team)
         val to = receiver.zone
         val spare = partition.spare(team, to)
-        val amount = Amount(minOf(spare.cores, need.cores), minOf(spare.cards, need.cards))
+        val amount = QuotaAmount(minOf(spare.cores, need.cores), minOf(spare.cards, need.cards))
         if (amount.cores < LEAST && amount.cards < LEAST) return
         give(partition, team, to, amount)
     }
 
-    private suspend fun give(partition: Partition, team: String, to: String, amount: Amount) {
+    private suspend fun give(partition: Partition, team: String, to: String, amount: QuotaAmount) {
         val stored = snapshot(team)
         val record = stored.value ?: even(team)
         val mine = record.byZone[partition.zone] ?: return
-        val value = encodeRecord(AllotmentRecord.serializer(), record.moved(partition.zone, to, amount))
-        val change = GuardedChange.put(stored, value)
+        val value = encodeRecord(QuotaSharesRecord.serializer(), record.moved(partition.zone, to, amount))
+        val change = CompareAndSwap.put(stored, value)
         if (!limits.fits(change)) return
         giving.add(partition.zone to team)
         partition.allot(team, mine - amount)
--- a/src/main/kotlin/io/otterknot/ratelimit/RateBudget.kt
+++ b/src/main/kotlin/io/otterknot/ratelimit/RateLimiter.kt
@@ -13,7 +13,7 @@
  * they say. Background tasks wait until there is something for them and leave no debt behind, so that users never queue
  * behind a long batch; and what only reads never waits for changes.
  */
-class RateBudget(
+class RateLimiter(
     requestsPerS: Double,
     changesPerS: Double,
     private val nowMs: () -> Long,
@@ -175,7 +175,7 @@
     }
 
     private companion object {
-        val log: org.slf4j.Logger = LoggerFactory.getLogger(RateBudget::class.java)
+        val log: org.slf4j.Logger = LoggerFactory.getLogger(RateLimiter::class.java)
         const val REFUSALS_MS = 10_000L
         const val BURST = 0.9
 
--- a/src/main/kotlin/io/otterknot/reassignment/Handover.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
@@ -1,6 +1,6 @@
 package io.otterknot.reassignment
 
-import io.otterknot.leadership.Ownership
+import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.partition.Partition
 import io.otterknot.scheduling.LongWait
 import io.otterknot.scheduling.PartitionView
@@ -9,9 +9,9 @@
 import kotlin.random.Random
 
 /** Moves tasks that wait in a partition to one with a lower mean. The owner of the partition that gives does it. */
-class Handover(
-    private val transfer: TaskTransfer,
-    private val ownership: Ownership,
+class TaskReassigner(
+    private val transfer: TaskReassignment,
+    private val ownership: PartitionLeadership,
     private val partitions: Map<String, Partition>,
     private val views: Map<String, PartitionView>,
     private val offers: (zone: String, spec: JobSpec) -> Boolean,
@@ -52,7 +52,11 @@
             if (tasks.isEmpty) continue
             moves++
             target.raise(spec, tasks.cardinality())
-            if (transfer.transfer(partition, held, tasks, target.zone) == TaskTransfer.Outcome.PARTITION_LOST) return
+            if (transfer.transfer(partition, held, tasks, target.zone) ==
+                TaskReassignment.Outcome.PARTITION_LOST
+            ) {
+                return
+            }
             means = Means(partition)
         }
     }
--- a/src/main/kotlin/io/otterknot/reassignment/TaskTransfer.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/TaskReassignment.kt
@@ -1,7 +1,7 @@
 package io.otterknot.reassignment
 
 import io.otterknot.jobs.JobTransitions
-import io.otterknot.leadership.OwnerTxn
+import io.otterknot.leadership.FencedTransactions
 import io.otterknot.partition.Partition
 import io.otterknot.scheduling.PartitionJob
 import io.otterknot.store.WriteLimits
@@ -12,8 +12,8 @@
  * Gives waiting tasks of a partition to another one, in a transaction on the job and the giving partition's key. Until
  * the outcome is known the tasks belong to nobody's queue.
  */
-class TaskTransfer(private val txn: OwnerTxn, private val limits: WriteLimits) {
-    private val log = LoggerFactory.getLogger(TaskTransfer::class.java)
+class TaskReassignment(private val txn: FencedTransactions, private val limits: WriteLimits) {
+    private val log = LoggerFactory.getLogger(TaskReassignment::class.java)
 
     enum class Outcome {
         MOVED,
@@ -34,9 +34,9 @@
             return Outcome.STAYED
         }
         val settled = txn.settle(partition, change)
-        if (settled == OwnerTxn.Settled.PART_LOST) return Outcome.PARTITION_LOST
+        if (settled == FencedTransactions.Settled.PART_LOST) return Outcome.PARTITION_LOST
         log.debug("{}: {} tasks of {} to {}: {}", partition.zone, tasks.cardinality(), held.id, zone, settled)
         partition.settleHandover(held, tasks)
-        return if (settled == OwnerTxn.Settled.APPLIED) Outcome.MOVED else Outcome.STAYED
+        return if (settled == FencedTransactions.Settled.APPLIED) Outcome.MOVED else Outcome.STAYED
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
@@ -2,10 +2,10 @@
 
 import io.otterknot.config.LoadSpreadMode
 import io.otterknot.config.LoadSpreadSettings
-import io.otterknot.config.TeamFacts
+import io.otterknot.config.TeamSettings
 import io.otterknot.jobs.Job
 import io.otterknot.partition.Partition
-import io.otterknot.reassignment.TaskTransfer
+import io.otterknot.reassignment.TaskReassignment
 import io.otterknot.records.PressureRecord
 import io.otterknot.scheduling.PartitionView
 import io.otterknot.wire.JobSpec
@@ -19,7 +19,7 @@
 interface LoadSpreadHost {
     val partitions: Map<String, Partition>
     val views: Map<String, PartitionView>
-    val teams: List<TeamFacts>
+    val teams: List<TeamSettings>
 
     /** All jobs that are not over, in all partitions. */
     val liveJobs: Collection<Job>
@@ -44,15 +44,15 @@
  */
 class LoadSpread(
     private val host: LoadSpreadHost,
-    private val transfer: TaskTransfer,
+    private val transfer: TaskReassignment,
     private val settings: () -> LoadSpreadSettings,
     private val nowMs: () -> Long,
     private val wallMs: () -> Long,
     private val random: Random,
 ) {
-    private val board = PressureBoard(host.teams, host.partitions, host.views)
-    private val cover = GuaranteeCover(host.teams)
-    private val desks = HashMap<String, PartitionDesk>()
+    private val board = PressureTracker(host.teams, host.partitions, host.views)
+    private val cover = QuotaCoverage(host.teams)
+    private val desks = HashMap<String, PartitionMoveExecutor>()
 
     /** Partitions with an owner, looked up once for all plans of a turn. */
     private var ownedZones = emptyList<String>()
@@ -124,7 +124,7 @@
         }
         for (partition in host.partitions.values) {
             desks.getOrPut(partition.zone) {
-                PartitionDesk(partition, active, transfer, ::owns, ::targets, random, now)
+                PartitionMoveExecutor(partition, active, transfer, ::owns, ::targets, random, now)
             }
         }
     }
--- a/src/main/kotlin/io/otterknot/rebalance/Mover.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/Mover.kt
@@ -1,7 +1,7 @@
 package io.otterknot.rebalance
 
 import io.otterknot.partition.Partition
-import io.otterknot.reassignment.TaskTransfer
+import io.otterknot.reassignment.TaskReassignment
 
 /**
  * Carries out the moves of one partition and follows them. It keeps nothing durable: stops go out with answers to
@@ -9,7 +9,7 @@
  */
 class Mover(
     private val partition: Partition,
-    private val transfer: TaskTransfer,
+    private val transfer: TaskReassignment,
     private val journal: MoveJournal,
     private val history: MoveHistory,
     private val budget: LostWorkBudget,
@@ -84,9 +84,15 @@
         }
         journal.proposed(move)
         when (transfer.transfer(partition, job, tasks, move.target)) {
-            TaskTransfer.Outcome.MOVED -> journal.ended(move, MoveState.PLACED, null, tasks.cardinality())
-            TaskTransfer.Outcome.STAYED -> journal.ended(move, MoveState.ABANDONED, MoveOutcome.NOT_TRANSFERRED)
-            TaskTransfer.Outcome.PARTITION_LOST -> journal.ended(move, MoveState.ABANDONED, MoveOutcome.OWNERSHIP_LOST)
+            TaskReassignment.Outcome.MOVED -> journal.ended(move, MoveState.PLACED, null, tasks.cardinality())
+
+            TaskReassignment.Outcome.STAYED -> journal.ended(move, MoveState.ABANDONED, MoveOutcome.NOT_TRANSFERRED)
+
+            TaskReassignment.Outcome.PARTITION_LOST -> journal.ended(
+                move,
+                MoveState.ABANDONED,
+                MoveOutcome.OWNERSHIP_LOST,
+            )
         }
     }
 
--- a/src/main/kotlin/io/otterknot/rebalance/PartitionDesk.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PartitionMoveExecutor.kt
@@ -3,15 +3,15 @@
 import io.otterknot.config.LoadSpreadMode
 import io.otterknot.config.LoadSpreadSettings
 import io.otterknot.partition.Partition
-import io.otterknot.reassignment.TaskTransfer
+import io.otterknot.reassignment.TaskReassignment
 import io.otterknot.wire.JobSpec
 import kotlin.random.Random
 
 /** Load spread for one partition, for as long as this node owns it under one token and with the same settings. */
-internal class PartitionDesk(
+internal class PartitionMoveExecutor(
     val partition: Partition,
     private val settings: LoadSpreadSettings,
-    transfer: TaskTransfer,
+    transfer: TaskReassignment,
     owns: (Partition) -> Boolean,
     targets: (JobSpec) -> List<String>,
     random: Random,
--- a/src/main/kotlin/io/otterknot/rebalance/PressureBoard.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
@@ -1,6 +1,6 @@
 package io.otterknot.rebalance
 
-import io.otterknot.config.TeamFacts
+import io.otterknot.config.TeamSettings
 import io.otterknot.partition.Partition
 import io.otterknot.records.PressureRecord
 import io.otterknot.records.TeamPressureRecord
@@ -11,8 +11,8 @@
  * Brings together what presses on each partition: of own partitions from their ledgers, which keep it up as things
  * change; of others from what their owners publish with their means.
  */
-class PressureBoard(
-    teams: List<TeamFacts>,
+class PressureTracker(
+    teams: List<TeamSettings>,
     private val partitions: Map<String, Partition>,
     private val views: Map<String, PartitionView>,
 ) {
--- a/src/main/kotlin/io/otterknot/rebalance/GuaranteeCover.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/QuotaCoverage.kt
@@ -1,8 +1,8 @@
 package io.otterknot.rebalance
 
-import io.otterknot.config.TeamFacts
+import io.otterknot.config.TeamSettings
 import io.otterknot.jobs.Job
-import io.otterknot.records.Amount
+import io.otterknot.records.QuotaAmount
 import io.otterknot.wire.Priority
 
 /** What one team's unfinished job takes of its guarantee. */
@@ -11,7 +11,7 @@
     val team: String,
     val priority: Priority,
     val submittedMs: Long,
-    val amount: Amount,
+    val amount: QuotaAmount,
 ) {
     companion object {
         /** Null: the job is over, waits for others, or is not known well enough; it takes nothing. */
@@ -19,7 +19,7 @@
             val spec = job.spec ?: return null
             if (job.outcome != null || !job.ready) return null
             val tasks = spec.tasks - job.done.cardinality()
-            val amount = Amount(tasks * spec.cores, tasks * spec.cards)
+            val amount = QuotaAmount(tasks * spec.cores, tasks * spec.cards)
             val priority = minOf(spec.priority, job.dependencies.inheritedPriority ?: spec.priority)
             return UnfinishedJob(job.id, spec.team, priority, job.record?.submittedMs ?: 0, amount)
         }
@@ -31,7 +31,7 @@
  * that are more urgent, or as urgent and earlier. A guarantee holds against other teams; within a team its own
  * priorities decide what it is used for. Every controller that has read as much of the state finds the same.
  */
-class GuaranteeCover(teams: List<TeamFacts>) {
+class QuotaCoverage(teams: List<TeamSettings>) {
     private val guarantees = teams.filter { it.cpus > 0 || it.gpus > 0 }.associateBy { it.name }
 
     /** Whether any team has a guarantee at all. */
@@ -43,7 +43,7 @@
         for ((team, ofTeam) in jobs.groupBy { it.team }) {
             val guarantee = guarantees[team] ?: continue
             val inOrder = ofTeam.sortedWith(ORDER)
-            var taken = Amount()
+            var taken = QuotaAmount()
             for (job in inOrder) {
                 taken += job.amount
                 if (!fits(taken, guarantee)) break
@@ -53,7 +53,7 @@
         return covered
     }
 
-    private fun fits(taken: Amount, guarantee: TeamFacts): Boolean =
+    private fun fits(taken: QuotaAmount, guarantee: TeamSettings): Boolean =
         taken.cores <= guarantee.cpus + EPS && taken.cards <= guarantee.gpus + EPS
 
     private companion object {
--- a/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
@@ -3,9 +3,9 @@
 import io.otterknot.config.LoadSpreadSettings
 import io.otterknot.partition.Partition
 import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.AttemptPhase
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
-import io.otterknot.scheduling.Phase
 import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 import kotlin.random.Random
@@ -108,7 +108,7 @@
 
     private fun task(attempt: Attempt, history: MoveHistory, now: Long): RunningTask {
         val job = attempt.job
-        val runs = attempt.phase == Phase.RUNNING
+        val runs = attempt.phase == AttemptPhase.RUNNING
         val cooldownMs = (settings.taskCooldownS * 1000).toLong()
         return RunningTask(
             spec = job.spec,
@@ -117,7 +117,7 @@
             covered = job.covered,
             elapsedS = if (runs) (now - attempt.since) / 1000.0 else 0.0,
             remainingS = maxOf(0.0, attempt.expectedMs(now) / 1000),
-            isBusyOrKept = attempt.halting || attempt.kept || attempt.phase == Phase.SAVING || job.over,
+            isBusyOrKept = attempt.halting || attempt.kept || attempt.phase == AttemptPhase.SAVING || job.over,
             coolsDown = history.coolsDown(job.id, attempt.task, now, cooldownMs),
         )
     }
--- a/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
@@ -1,9 +1,9 @@
 package io.otterknot.rebalance
 
 import io.otterknot.partition.Partition
+import io.otterknot.scheduling.AttemptPhase
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
-import io.otterknot.scheduling.Phase
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
@@ -66,8 +66,8 @@
             add(job.spec.team, WaitCause.HANDOVER, job.leaving.cardinality())
             for (attempt in job.active.values) {
                 when (attempt.phase) {
-                    Phase.BOOKED, Phase.SENT -> add(job.spec.team, WaitCause.REPORT, 1)
-                    Phase.FETCHING -> add(job.spec.team, WaitCause.IMAGE, 1)
+                    AttemptPhase.BOOKED, AttemptPhase.SENT -> add(job.spec.team, WaitCause.REPORT, 1)
+                    AttemptPhase.FETCHING -> add(job.spec.team, WaitCause.IMAGE, 1)
                     else -> Unit
                 }
             }
--- a/src/main/kotlin/io/otterknot/records/Segments.kt
+++ b/src/main/kotlin/io/otterknot/records/RecordSegments.kt
@@ -1,7 +1,7 @@
 package io.otterknot.records
 
 /** Many small records under few keys: each change of a key is rationed, whatever it holds. */
-object Segments {
+object RecordSegments {
     /**
      * The segments that change so that [gone] names are in none and [fresh] ones are in some, with at most [room] names
      * in each that is written; a name that is there already stays where it is, unless its segment has to be written and
--- a/src/main/kotlin/io/otterknot/records/Records.kt
+++ b/src/main/kotlin/io/otterknot/records/Records.kt
@@ -10,7 +10,7 @@
 
 /** The state of a job that no later one can follow. */
 @Serializable
-enum class Final {
+enum class TerminalState {
     @SerialName("d")
     DONE,
 
@@ -20,7 +20,7 @@
 
 /** Tasks [from] until [until] belong to the partition of [zone]. */
 @Serializable
-data class Span(@SerialName("z") val zone: String, @SerialName("f") val from: Int, @SerialName("u") val until: Int)
+data class TaskSpan(@SerialName("z") val zone: String, @SerialName("f") val from: Int, @SerialName("u") val until: Int)
 
 /**
  * A job as it is kept. Its key goes from "running" to one final state in a transaction that guards the key, so done
@@ -29,13 +29,13 @@
 @Serializable
 data class JobRecord(
     @SerialName("s") val spec: JobSpec? = null,
-    @SerialName("a") val spans: List<Span> = emptyList(),
+    @SerialName("a") val spans: List<TaskSpan> = emptyList(),
     @SerialName("t") val submittedMs: Long = 0,
     @SerialName("n") val nonce: String? = null,
-    @SerialName("x") val final: Final? = null,
+    @SerialName("x") val final: TerminalState? = null,
     @SerialName("c") val tasks: Int = 0,
     /**
-     * In how many keys of their own ([Keys.awaits]) the jobs that this one awaits stand; null: they stand in [spec].
+     * In how many keys of their own ([StoreKeys.awaits]) the jobs that this one awaits stand; null: they stand in [spec].
      */
     @SerialName("w") val awaitKeys: Int? = null,
     /** When it became final, by the time of day of the controller that wrote so. */
@@ -46,20 +46,20 @@
 }
 
 @Serializable
-data class PartitionRecord(@SerialName("o") val owner: String, @SerialName("i") val incarnation: String)
+data class LeaderRecord(@SerialName("o") val owner: String, @SerialName("i") val incarnation: String)
 
 /**
  * A partition as others see it: the mean of its machines' loads and the cores behind it; and the same for its ordinary
  * machines alone with the tasks that may run on no other, since those cannot use what is free on spot machines.
  */
 @Serializable
-data class MeanRecord(
+data class PartitionLoadRecord(
     @SerialName("m") val mean: Double,
     @SerialName("c") val cores: Double = 0.0,
     @SerialName("om") val ordinaryMean: Double = 0.0,
     @SerialName("oc") val ordinaryCores: Double = 0.0,
     /** By team: cores and cards that waiting tasks need beyond the partition's allotment. */
-    @SerialName("n") val needs: Map<String, Amount> = emptyMap(),
+    @SerialName("n") val needs: Map<String, QuotaAmount> = emptyMap(),
     /** What load spread needs to know; null where that is off, or the owner is of a version before it. */
     @SerialName("l") val pressure: PressureRecord? = null,
 )
@@ -91,9 +91,9 @@
 )
 
 @Serializable
-data class Amount(@SerialName("c") val cores: Double = 0.0, @SerialName("g") val cards: Double = 0.0) {
-    operator fun plus(other: Amount) = Amount(cores + other.cores, cards + other.cards)
-    operator fun minus(other: Amount) = Amount(cores - other.cores, cards - other.cards)
+data class QuotaAmount(@SerialName("c") val cores: Double = 0.0, @SerialName("g") val cards: Double = 0.0) {
+    operator fun plus(other: QuotaAmount) = QuotaAmount(cores + other.cores, cards + other.cards)
+    operator fun minus(other: QuotaAmount) = QuotaAmount(cores - other.cores, cards - other.cards)
 }
 
 /**
@@ -101,18 +101,18 @@
  * transaction.
  */
 @Serializable
-data class AllotmentRecord(@SerialName("z") val byZone: Map<String, Amount>) {
-    fun moved(from: String, to: String, amount: Amount): AllotmentRecord {
+data class QuotaSharesRecord(@SerialName("z") val byZone: Map<String, QuotaAmount>) {
+    fun moved(from: String, to: String, amount: QuotaAmount): QuotaSharesRecord {
         val left = byZone.getValue(from) - amount
         require(left.cores >= 0 && left.cards >= 0) { "more than the allotment of $from" }
-        return AllotmentRecord(byZone + (from to left) + (to to (byZone[to] ?: Amount()) + amount))
+        return QuotaSharesRecord(byZone + (from to left) + (to to (byZone[to] ?: QuotaAmount()) + amount))
     }
 
     companion object {
         /** What holds until something has been moved. No limit, given as 0, is a limit that nothing reaches. */
-        fun even(zones: List<String>, maxCores: Double, maxCards: Double): AllotmentRecord {
+        fun even(zones: List<String>, maxCores: Double, maxCards: Double): QuotaSharesRecord {
             fun partition(max: Double) = if (max > 0) max / zones.size else UNLIMITED
-            return AllotmentRecord(zones.associateWith { Amount(partition(maxCores), partition(maxCards)) })
+            return QuotaSharesRecord(zones.associateWith { QuotaAmount(partition(maxCores), partition(maxCards)) })
         }
 
         const val UNLIMITED = 1e12
@@ -120,16 +120,16 @@
 }
 
 /** Who owns which tasks of a job, as spans in the order of the tasks. */
-object Spans {
+object TaskSpans {
     /** The spans once [tasks] belong to [zone]. */
-    fun move(spans: List<Span>, tasks: BitSet, zone: String): List<Span> {
-        val moved = ArrayList<Span>()
+    fun move(spans: List<TaskSpan>, tasks: BitSet, zone: String): List<TaskSpan> {
+        val moved = ArrayList<TaskSpan>()
         fun add(owner: String, from: Int, until: Int) {
             val last = moved.lastOrNull()
             if (last != null && last.zone == owner && last.until == from) {
                 moved[moved.size - 1] = last.copy(until = until)
             } else {
-                moved.add(Span(owner, from, until))
+                moved.add(TaskSpan(owner, from, until))
             }
         }
         for (span in spans.sortedBy { it.from }) {
@@ -160,23 +160,23 @@
 
 /** Machines that may hold tasks of a zone, with their types; one key holds many, since changes are rationed. */
 @Serializable
-data class MachinesRecord(@SerialName("m") val types: Map<String, String> = emptyMap())
+data class MachineSegmentRecord(@SerialName("m") val types: Map<String, String> = emptyMap())
 
 /**
  * Some of the jobs that a job awaits, by what follows "j-", with spaces between: a long list needs more than one key.
  */
 @Serializable
-data class AwaitsRecord(@SerialName("i") val ids: String) {
+data class DependencySegmentRecord(@SerialName("i") val ids: String) {
     val jobs: List<String> get() = ids.split(' ').map { "j-$it" }
 
     companion object {
-        fun of(jobs: List<String>) = AwaitsRecord(jobs.joinToString(" ") { it.removePrefix("j-") })
+        fun of(jobs: List<String>) = DependencySegmentRecord(jobs.joinToString(" ") { it.removePrefix("j-") })
     }
 }
 
-/** Completed tasks of many jobs, as [TaskBits]; the names are those of [TaskBits.name]. */
+/** Completed tasks of many jobs, as [TaskBitmaps]; the names are those of [TaskBitmaps.name]. */
 @Serializable
-data class DoneRecord(
+data class CompletionSegmentRecord(
     @SerialName("d") val bits: Map<String, String> = emptyMap(),
     /** The same in smaller chunks, for jobs of so many tasks that a chunk of the usual size would not fit a value. */
     @SerialName("f") val fine: Map<String, String>? = null,
@@ -189,7 +189,7 @@
     WireJson.decodeFromJsonElement(serializer, value)
 
 /** Sets of tasks are kept as base64 of their bits, [CHUNK] tasks under one name, or [FINE_CHUNK] in large jobs. */
-object TaskBits {
+object TaskBitmaps {
     const val CHUNK = 16_384
 
     /** A chunk of a job with more tasks than this takes 700 bytes. */
--- a/src/main/kotlin/io/otterknot/records/Keys.kt
+++ b/src/main/kotlin/io/otterknot/records/StoreKeys.kt
@@ -1,7 +1,7 @@
 package io.otterknot.records
 
 /** The names under which this service keeps its state. */
-object Keys {
+object StoreKeys {
     const val ROOT = "o/"
     const val JOBS = "o/j/"
     const val DONE = "o/d/"
--- a/src/main/kotlin/io/otterknot/scheduling/Machines.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Machines.kt
@@ -5,7 +5,7 @@
 import io.otterknot.wire.Priority
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap
 
-enum class Phase { BOOKED, SENT, FETCHING, RUNNING, SAVING, EXITED }
+enum class AttemptPhase { BOOKED, SENT, FETCHING, RUNNING, SAVING, EXITED }
 
 /** One try at a task on one machine. */
 class Attempt(
@@ -13,7 +13,7 @@
     val task: Int,
     val id: Long,
     val machine: Machine,
-    var phase: Phase,
+    var phase: AttemptPhase,
     var since: Long,
 ) {
     /** Told to stop, or to be told with the next answer. */
@@ -35,10 +35,10 @@
     /** The report that last showed it. */
     var shownSeq = -1L
     val name: String get() = "${job.id}/$task"
-    val holds: Boolean get() = phase != Phase.EXITED
+    val holds: Boolean get() = phase != AttemptPhase.EXITED
 
     /** How long it will run yet, by the job's tasks that have completed here, or else by its owner's estimate. */
-    fun expectedMs(now: Long): Double = job.expectedRunMs - (if (phase == Phase.RUNNING) now - since else 0)
+    fun expectedMs(now: Long): Double = job.expectedRunMs - (if (phase == AttemptPhase.RUNNING) now - since else 0)
 
     fun halt() {
         if (halting || !holds) return
@@ -47,7 +47,7 @@
     }
 }
 
-class Amounts(var cores: Double = 0.0, var memoryGb: Double = 0.0, var cards: Double = 0.0) {
+class MutableResources(var cores: Double = 0.0, var memoryGb: Double = 0.0, var cards: Double = 0.0) {
     fun covers(spec: JobSpec) = spec.cores <= cores + Machine.EPS && spec.memoryGb <= memoryGb + Machine.EPS &&
         spec.cards <= cards + Machine.EPS
 
@@ -77,7 +77,7 @@
     val type: MachineType,
     val spot: Boolean,
     private val imageCounts: ImageCounts = ImageCounts(),
-) : Place() {
+) : PlacementTarget() {
     var session = 0L
     var seq = -1L
 
@@ -147,12 +147,12 @@
     var retiring = false
 
     /** What is being freed here by stopping tasks. */
-    val freeing = Amounts()
+    val freeing = MutableResources()
 
     /** What of this machine waiting tasks are to get, by their priority. */
-    private val held = Array(Priority.entries.size) { Amounts() }
+    private val held = Array(Priority.entries.size) { MutableResources() }
 
-    fun held(priority: Priority): Amounts = held[priority.ordinal]
+    fun held(priority: Priority): MutableResources = held[priority.ordinal]
 
     /** Partition of what this partition has to work with, whether or not it may get a task already. */
     val serving: Boolean get() = !draining && !silent && !retiring
@@ -177,8 +177,8 @@
     }
 
     /** What is free or being freed and not held for anybody of [priority] or a higher one. */
-    fun openRoom(priority: Priority): Amounts {
-        val open = Amounts(
+    fun openRoom(priority: Priority): MutableResources {
+        val open = MutableResources(
             type.cores - usedCores + freeing.cores,
             type.memoryGb - usedMemory + freeing.memoryGb,
             type.cards - usedCards + freeing.cards,
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
@@ -1,8 +1,8 @@
 package io.otterknot.scheduling
 
-import io.otterknot.records.Amount
 import io.otterknot.records.PressureRecord
-import io.otterknot.records.Span
+import io.otterknot.records.QuotaAmount
+import io.otterknot.records.TaskSpan
 import io.otterknot.wire.JobSpec
 import kotlin.random.Random
 
@@ -37,7 +37,7 @@
     }
 
     /** What teams need there beyond the partition's allotment. */
-    var needs: Map<String, Amount> = emptyMap()
+    var needs: Map<String, QuotaAmount> = emptyMap()
 
     /** What presses on it, as its owner published it; null: the owner does not. */
     var pressure: PressureRecord? = null
@@ -52,12 +52,12 @@
      * Deals the tasks of [spec] out to partitions in at most [MAX_BLOCKS] blocks, raising the chosen partitions' means
      * in this view.
      */
-    fun deal(spec: JobSpec, partitions: List<PartitionView>, random: Random): List<Span> {
+    fun deal(spec: JobSpec, partitions: List<PartitionView>, random: Random): List<TaskSpan> {
         val open = if (spec.zone == null) partitions else partitions.filter { it.zone == spec.zone }
         if (spec.oneZone || open.size == 1) {
             val partition = choose(open, spec, random)
             partition.raise(spec, spec.tasks)
-            return listOf(Span(partition.zone, 0, spec.tasks))
+            return listOf(TaskSpan(partition.zone, 0, spec.tasks))
         }
         val counts = IntArray(open.size)
         val block = maxOf(1, (spec.tasks + MAX_BLOCKS - 1) / MAX_BLOCKS)
@@ -69,11 +69,11 @@
             counts[open.indexOf(partition)] += size
             left -= size
         }
-        val spans = ArrayList<Span>()
+        val spans = ArrayList<TaskSpan>()
         var from = 0
         for (index in open.indices.sortedByDescending { counts[it] }) {
             if (counts[index] == 0) continue
-            spans.add(Span(open[index].zone, from, from + counts[index]))
+            spans.add(TaskSpan(open[index].zone, from, from + counts[index]))
             from += counts[index]
         }
         return spans
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
@@ -79,7 +79,7 @@
     /** Tasks that were stopped once because they took far longer than the others. */
     val restarted = BitSet()
 
-    /** What [WaitOrder] compares, as of its last look. */
+    /** What [SchedulingQueue] compares, as of its last look. */
     var missedAims = 0
     var rank = 0
     var workLeft = 0.0
--- a/src/main/kotlin/io/otterknot/scheduling/Saqr.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PlacementCandidates.kt
@@ -3,7 +3,7 @@
 import kotlin.random.Random
 
 /** What Saqr keeps of a place that takes work: whether it is idle, its load, and what was added since. */
-open class Place {
+open class PlacementTarget {
     var idle = false
     var load = 0.0
     var drift = 0.0
@@ -28,7 +28,7 @@
  * lighter of two samples. Places that do not fit any more are found out when they are met, so that dealing out the
  * many tasks of a job does not look at every place for each of them.
  */
-class Candidates<P : Place>(places: List<P>, private val fits: (P) -> Boolean) {
+class PlacementCandidates<P : PlacementTarget>(places: List<P>, private val fits: (P) -> Boolean) {
     private val fitting = ArrayList<P>(places.size)
     private val idle = ArrayList<P>()
 
--- a/src/main/kotlin/io/otterknot/scheduling/RoomMaker.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
@@ -8,7 +8,7 @@
  * Stops tasks of lower priority where a waiting task would then fit, the least work lost first, and holds the room for
  * it. Without holding it, lower work that waits would take each freed core before the urgent task fits.
  */
-class RoomMaker(
+class Preemptor(
     private val startable: (PartitionJob) -> Int,
     private val patient: (PartitionJob) -> Boolean,
     private val stop: (Attempt) -> Unit,
@@ -118,7 +118,7 @@
 
     /** Core-seconds that stopping an attempt throws away. */
     private fun lostWork(attempt: Attempt, now: Long): Double =
-        if (attempt.phase == Phase.RUNNING) (now - attempt.since) / 1000.0 * attempt.job.spec.cores else 0.0
+        if (attempt.phase == AttemptPhase.RUNNING) (now - attempt.since) / 1000.0 * attempt.job.spec.cores else 0.0
 
     private companion object {
         /** How much dearer it is to stop a task of a job that may still meet its aims: one late task makes it late. */
--- a/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
@@ -10,13 +10,13 @@
  * ordinary machines only, spot machines before those.
  */
 class JobCandidates(machines: List<Machine>, spec: JobSpec, spotFirst: Boolean, fits: (Machine) -> Boolean) {
-    private val groups = ArrayList<Candidates<Machine>>()
+    private val groups = ArrayList<PlacementCandidates<Machine>>()
 
     init {
         val kinds = if (spec.spot && spotFirst) machines.partition { it.spot }.toList() else listOf(machines)
         for (kind in kinds) {
-            groups.add(Candidates(kind.filter { spec.image in it.images }, fits))
-            groups.add(Candidates(kind, fits))
+            groups.add(PlacementCandidates(kind.filter { spec.image in it.images }, fits))
+            groups.add(PlacementCandidates(kind, fits))
         }
     }
 
@@ -25,7 +25,7 @@
 }
 
 /** What the scheduler asks of the ledger and tells it. */
-interface Ledger {
+interface PlacementLedger {
     val machines: List<Machine>
     val jobs: List<PartitionJob>
 
@@ -47,13 +47,13 @@
  * frees room, only that machine is looked at, and all machines only once something has come to wait or the time is up.
  */
 class Scheduler(
-    private val ledger: Ledger,
-    private val aims: Aims,
+    private val ledger: PlacementLedger,
+    private val aims: ServiceLevelObjectives,
     private val wallOf: (Long) -> Long,
     private val random: Random,
 ) {
-    val order = WaitOrder(aims, wallOf)
-    private val roomMaker = RoomMaker(
+    val order = SchedulingQueue(aims, wallOf)
+    private val roomMaker = Preemptor(
         startable = { minOf(it.waiting, ledger.startable(it)) },
         patient = { wallOf(passMs) - it.readyMs < aims.patienceMs(it.spec) },
         stop = ledger::stop,
@@ -143,7 +143,7 @@
      * Serves [queues] in turn by the teams' shares. After a report of one machine alone, [only], a job whose image that
      * machine has may come before others that are as urgent.
      */
-    private fun serve(queues: List<WaitOrder.Queue>, open: List<Machine>, only: Machine?, now: Long) {
+    private fun serve(queues: List<SchedulingQueue.Queue>, open: List<Machine>, only: Machine?, now: Long) {
         for (queue in queues) queue.next = 0
         while (true) {
             val queue = nextInTurn(queues) ?: return
@@ -156,8 +156,8 @@
         }
     }
 
-    private fun nextInTurn(queues: List<WaitOrder.Queue>): WaitOrder.Queue? {
-        var chosen: WaitOrder.Queue? = null
+    private fun nextInTurn(queues: List<SchedulingQueue.Queue>): SchedulingQueue.Queue? {
+        var chosen: SchedulingQueue.Queue? = null
         var least = Double.MAX_VALUE
         for (queue in queues) {
             if (queue.head == null) continue
--- a/src/main/kotlin/io/otterknot/scheduling/WaitOrder.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
@@ -7,7 +7,7 @@
  * left. Sorting at every report would cost more than the placement itself, so the order is kept for
  * [KEEP_MS] unless a job comes to wait.
  */
-class WaitOrder(private val aims: Aims, private val wallOf: (Long) -> Long) {
+class SchedulingQueue(private val aims: ServiceLevelObjectives, private val wallOf: (Long) -> Long) {
     class Queue(val team: Int) {
         val jobs = ArrayList<PartitionJob>()
         var next = 0
--- a/src/main/kotlin/io/otterknot/scheduling/Aims.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/ServiceLevelObjectives.kt
@@ -1,25 +1,25 @@
 package io.otterknot.scheduling
 
-import io.otterknot.config.Objective
+import io.otterknot.config.ObjectiveSettings
 import io.otterknot.wire.JobSpec
 
 /** One aim on a class of jobs: started or finished this long after the submission, or by so many times the deadline. */
-sealed interface Aim {
-    data class Started(val withinS: Double, val share: Double) : Aim
-    data class Finished(val withinS: Double) : Aim
-    data class Deadline(val times: Double) : Aim
+sealed interface ServiceLevelObjective {
+    data class Started(val withinS: Double, val share: Double) : ServiceLevelObjective
+    data class Finished(val withinS: Double) : ServiceLevelObjective
+    data class Deadline(val times: Double) : ServiceLevelObjective
 }
 
 /** The aims on each class among the operators' objectives; other kinds of objectives are left out. */
-fun aimsByKind(objectives: List<Objective>): Map<String, List<Aim>> = objectives
+fun objectivesByJobClass(objectives: List<ObjectiveSettings>): Map<String, List<ServiceLevelObjective>> = objectives
     .filter { it.jobKind != null }
     .groupBy { it.jobKind.orEmpty() }
     .mapValues { (_, ofKind) -> ofKind.mapNotNull(::aim) }
 
-private fun aim(objective: Objective): Aim? = when (objective.kind) {
-    "wait" -> objective.withinS?.let { Aim.Started(it, objective.share ?: DEFAULT_SHARE) }
-    "finished" -> objective.withinS?.let(Aim::Finished)
-    "deadline" -> Aim.Deadline(objective.times ?: 1.0)
+private fun aim(objective: ObjectiveSettings): ServiceLevelObjective? = when (objective.kind) {
+    "wait" -> objective.withinS?.let { ServiceLevelObjective.Started(it, objective.share ?: DEFAULT_SHARE) }
+    "finished" -> objective.withinS?.let(ServiceLevelObjective::Finished)
+    "deadline" -> ServiceLevelObjective.Deadline(objective.times ?: 1.0)
     else -> null
 }
 
@@ -29,7 +29,7 @@
  * The operators' aims by class of job. When more is asked than can be done, serving in order of arrival would make
  * every job late; what a job has missed, and what it is about to miss, say when it is served.
  */
-class Aims(private val byKind: Map<String, List<Aim>>) {
+class ServiceLevelObjectives(private val byKind: Map<String, List<ServiceLevelObjective>>) {
 
     /** How many of its aims a job has missed at [wallMs], as it still waits. */
     fun missed(job: PartitionJob, wallMs: Long): Int = latestStarts(job).count { wallMs > it }
@@ -51,11 +51,14 @@
         val likely = job.spec.estimateS * LIKELY
         val own = byKind[job.spec.kind].orEmpty().map { aim ->
             when (aim) {
-                is Aim.Started -> job.readyMs + aim.withinS * 1000
+                is ServiceLevelObjective.Started -> job.readyMs + aim.withinS * 1000
 
-                is Aim.Finished -> job.readyMs + (aim.withinS - likely) * 1000
+                is ServiceLevelObjective.Finished -> job.readyMs + (aim.withinS - likely) * 1000
 
-                is Aim.Deadline -> job.spec.dueS?.let { job.submittedMs + (it * aim.times - likely) * 1000 }
+                is ServiceLevelObjective.Deadline -> job.spec.dueS?.let {
+                    job.submittedMs +
+                        (it * aim.times - likely) * 1000
+                }
                     ?: Double.MAX_VALUE
             }
         }
@@ -69,7 +72,8 @@
      */
     fun patienceMs(spec: JobSpec): Long {
         val tightest =
-            byKind[spec.kind].orEmpty().filterIsInstance<Aim.Started>().minOfOrNull { it.withinS } ?: DEFAULT_WAIT_S
+            byKind[spec.kind].orEmpty().filterIsInstance<ServiceLevelObjective.Started>().minOfOrNull { it.withinS }
+                ?: DEFAULT_WAIT_S
         return (tightest * PATIENCE * 1000).toLong()
     }
 
@@ -78,7 +82,7 @@
      * advance. 0 where they may wait for a boot.
      */
     fun readyShare(spec: JobSpec, bootS: Double): Double =
-        byKind[spec.kind].orEmpty().filterIsInstance<Aim.Started>().filter {
+        byKind[spec.kind].orEmpty().filterIsInstance<ServiceLevelObjective.Started>().filter {
             it.withinS < bootS
         }.maxOfOrNull { it.share }
             ?: 0.0
--- a/src/main/kotlin/io/otterknot/store/Writer.kt
+++ b/src/main/kotlin/io/otterknot/store/BatchWriter.kt
@@ -1,6 +1,6 @@
 package io.otterknot.store
 
-import io.otterknot.wire.Guard
+import io.otterknot.wire.VersionCondition
 import kotlinx.coroutines.delay
 import kotlinx.serialization.json.JsonElement
 import org.slf4j.LoggerFactory
@@ -12,8 +12,8 @@
  */
 class PendingWrite(val key: String, val value: JsonElement?, val after: Set<String> = emptySet()) {
     /** The change to it from [before]. */
-    fun from(before: Snapshot<*>): GuardedChange =
-        if (value == null) GuardedChange.remove(before) else GuardedChange.put(before, value)
+    fun from(before: Snapshot<*>): CompareAndSwap =
+        if (value == null) CompareAndSwap.remove(before) else CompareAndSwap.put(before, value)
 
     val valueBytes: Int get() = value?.utf8Bytes ?: 0
 }
@@ -25,14 +25,14 @@
  * A batch that is refused for its size is tried again in smaller batches; a single value that is refused is set aside
  * for a while, so that it does not hold up the others, or until something smaller is to be written.
  */
-class Writer(
-    private val client: StateClient,
-    private val replica: Replica,
+class BatchWriter(
+    private val client: KeyValueStoreClient,
+    private val replica: StoreReplica,
     private val random: Random,
     private val limits: WriteLimits,
     private val nowMs: () -> Long,
 ) {
-    private val log = LoggerFactory.getLogger(Writer::class.java)
+    private val log = LoggerFactory.getLogger(BatchWriter::class.java)
 
     private class SetAside(val write: PendingWrite, val untilMs: Long)
 
@@ -40,22 +40,22 @@
     private val setAside = HashMap<String, SetAside>()
 
     /** Sends what differs from the replica; false: nothing to send. */
-    suspend fun write(owner: Guard, writes: List<PendingWrite>, onGuardLost: () -> Unit): Boolean {
+    suspend fun write(owner: VersionCondition, writes: List<PendingWrite>, onGuardLost: () -> Unit): Boolean {
         val batch = nextBatch(writes)
         if (batch.isEmpty()) return false
-        val change = batch.map { it.from(replica.snapshot(it.key)) }.reduce(GuardedChange::plus).onlyWhile(owner)
+        val change = batch.map { it.from(replica.snapshot(it.key)) }.reduce(CompareAndSwap::plus).onlyWhile(owner)
         client.budget.takeSpare(change.size)
         when (val outcome = client.txn(change)) {
-            is TxnOutcome.Applied -> replica.reach(outcome.revision, REACH_MS)
+            is TransactionOutcome.Applied -> replica.reach(outcome.revision, REACH_MS)
 
-            is TxnOutcome.Conflict -> {
+            is TransactionOutcome.Conflict -> {
                 log.debug("batch of {} refused by {}", change.size, outcome.failed)
                 if (owner.key in outcome.failed) onGuardLost() else replica.reach(outcome.revision, REACH_MS)
             }
 
-            is TxnOutcome.Refused, is TxnOutcome.Unknown -> {
+            is TransactionOutcome.Refused, is TransactionOutcome.Unknown -> {
                 log.info("batch of {} not written: {}", change.size, outcome)
-                if (outcome is TxnOutcome.Refused && outcome.tooLarge) refusedForSize(batch, change)
+                if (outcome is TransactionOutcome.Refused && outcome.tooLarge) refusedForSize(batch, change)
                 delay(PAUSE_MS + random.nextLong(PAUSE_JITTER_MS))
             }
         }
@@ -89,7 +89,7 @@
         return false
     }
 
-    private fun refusedForSize(batch: List<PendingWrite>, change: GuardedChange) {
+    private fun refusedForSize(batch: List<PendingWrite>, change: CompareAndSwap) {
         limits.refused(change.changes)
         val single = batch.singleOrNull() ?: return
         setAside[single.key] = SetAside(single, nowMs() + SET_ASIDE_MS)
--- a/src/main/kotlin/io/otterknot/store/GuardedChange.kt
+++ b/src/main/kotlin/io/otterknot/store/CompareAndSwap.kt
@@ -1,7 +1,7 @@
 package io.otterknot.store
 
-import io.otterknot.wire.Change
-import io.otterknot.wire.Guard
+import io.otterknot.wire.KeyChange
+import io.otterknot.wire.VersionCondition
 import kotlinx.serialization.json.JsonElement
 
 /**
@@ -22,26 +22,26 @@
  * guarded by a newer version than the value that it was decided on; a transaction that is late, repeated or overtaken
  * by another writer is then refused by the state service.
  */
-class GuardedChange private constructor(val guards: List<Guard>, val changes: List<Change>) {
+class CompareAndSwap private constructor(val guards: List<VersionCondition>, val changes: List<KeyChange>) {
     val size: Int get() = changes.size
 
-    operator fun plus(other: GuardedChange) = GuardedChange(guards + other.guards, changes + other.changes)
+    operator fun plus(other: CompareAndSwap) = CompareAndSwap(guards + other.guards, changes + other.changes)
 
     /** Removes [keys] as well, whatever they hold: they say nothing any more once this change is carried out. */
-    fun andRemove(keys: List<String>) = GuardedChange(guards, changes + keys.map { Change(remove = it) })
+    fun andRemove(keys: List<String>) = CompareAndSwap(guards, changes + keys.map { KeyChange(remove = it) })
 
     /** Puts [key] as well, whatever it holds: it says something of this change only. */
-    fun andPut(key: String, value: JsonElement) = GuardedChange(guards, changes + Change(put = key, value = value))
+    fun andPut(key: String, value: JsonElement) = CompareAndSwap(guards, changes + KeyChange(put = key, value = value))
 
     /** Only carried out while [guard] holds, too. */
-    fun onlyWhile(guard: Guard) = GuardedChange(guards + guard, changes)
+    fun onlyWhile(guard: VersionCondition) = CompareAndSwap(guards + guard, changes)
 
     companion object {
         fun put(before: Snapshot<*>, value: JsonElement, lease: Long? = null) =
-            GuardedChange(listOf(before.guard()), listOf(Change(put = before.key, value = value, lease = lease)))
+            CompareAndSwap(listOf(before.guard()), listOf(KeyChange(put = before.key, value = value, lease = lease)))
 
-        fun remove(before: Snapshot<*>) = GuardedChange(listOf(before.guard()), listOf(Change(remove = before.key)))
+        fun remove(before: Snapshot<*>) = CompareAndSwap(listOf(before.guard()), listOf(KeyChange(remove = before.key)))
 
-        private fun Snapshot<*>.guard() = Guard(key, version)
+        private fun Snapshot<*>.guard() = VersionCondition(key, version)
     }
 }
--- a/src/main/kotlin/io/otterknot/store/StateClient.kt
+++ b/src/main/kotlin/io/otterknot/store/KeyValueStoreClient.kt
@@ -2,60 +2,60 @@
 
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
-import io.otterknot.metrics.Figures
-import io.otterknot.ratelimit.RateBudget
-import io.otterknot.wire.Change
-import io.otterknot.wire.Guard
+import io.otterknot.metrics.Metrics
+import io.otterknot.ratelimit.RateLimiter
+import io.otterknot.wire.KeyChange
+import io.otterknot.wire.KeyValuePage
 import io.otterknot.wire.LeaseGrant
 import io.otterknot.wire.LeaseRequest
-import io.otterknot.wire.Revision
-import io.otterknot.wire.StoredPage
-import io.otterknot.wire.Txn
+import io.otterknot.wire.RevisionResponse
+import io.otterknot.wire.TransactionRequest
+import io.otterknot.wire.VersionCondition
 import io.otterknot.wire.WatchEvents
 import io.otterknot.wire.WireJson
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.SerializationException
 
 /** What came of a transaction. */
-sealed interface TxnOutcome {
-    data class Applied(val revision: Long) : TxnOutcome
-    data class Conflict(val failed: List<String>, val revision: Long) : TxnOutcome
+sealed interface TransactionOutcome {
+    data class Applied(val revision: Long) : TransactionOutcome
+    data class Conflict(val failed: List<String>, val revision: Long) : TransactionOutcome
 
     /** Not carried out, and never will be. */
-    data class Refused(val status: Int) : TxnOutcome {
+    data class Refused(val status: Int) : TransactionOutcome {
         /** Of a transaction without a lease: a value or the whole is larger than the service takes now. */
         val tooLarge: Boolean get() = status == 400
     }
 
     /** Carried out, or still to be carried out, or not: only reading tells. */
-    data class Unknown(val why: String) : TxnOutcome
+    data class Unknown(val why: String) : TransactionOutcome
 }
 
-sealed interface RenewOutcome {
-    data object Renewed : RenewOutcome
-    data object Gone : RenewOutcome
-    data object Failed : RenewOutcome
+sealed interface LeaseRenewal {
+    data object Renewed : LeaseRenewal
+    data object Gone : LeaseRenewal
+    data object Failed : LeaseRenewal
 }
 
-sealed interface WatchOutcome {
-    class Events(val events: WatchEvents) : WatchOutcome
-    data object TooOld : WatchOutcome
-    class Failed(val why: String) : WatchOutcome
+sealed interface WatchResult {
+    class Events(val events: WatchEvents) : WatchResult
+    data object TooOld : WatchResult
+    class Failed(val why: String) : WatchResult
 }
 
 /** The state service's interface, within this node's share of its limits. */
-class StateClient(
+class KeyValueStoreClient(
     private val http: Transport,
     private val watchHttp: Transport,
-    val budget: RateBudget,
-    val figures: Figures,
+    val budget: RateLimiter,
+    val figures: Metrics,
 ) {
 
-    suspend fun list(prefix: String, after: String?): StoredPage? {
+    suspend fun list(prefix: String, after: String?): KeyValuePage? {
         budget.take()
         figures.count("lists")
         val from = if (after == null) "" else "&After=$after"
-        return decode(StoredPage.serializer(), call(http, "GET", "/store?Under=$prefix$from&Page=200", null, LIST_MS))
+        return decode(KeyValuePage.serializer(), call(http, "GET", "/store?Under=$prefix$from&Page=200", null, LIST_MS))
     }
 
     /** The revision that the service has reached, read from an absent key; null if it does not say. */
@@ -74,32 +74,37 @@
         figures.count("barrier reads")
         val reply = call(http, "GET", "/store/o/none", null, READ_MS)
         if (reply !is Reply.Answer || reply.status != 404) return null
-        return parse(Revision.serializer(), reply)?.revision
+        return parse(RevisionResponse.serializer(), reply)?.revision
     }
 
     /** Carries [change] out if all its guards hold. The caller has taken its place in [budget]. */
-    suspend fun txn(change: GuardedChange): TxnOutcome = send(change.guards, change.changes)
+    suspend fun txn(change: CompareAndSwap): TransactionOutcome = send(change.guards, change.changes)
 
     /** Whether all of [guards] hold at some moment after the call. The caller has taken its place in [budget]. */
-    suspend fun compare(guards: List<Guard>): TxnOutcome = send(guards, emptyList())
+    suspend fun compare(guards: List<VersionCondition>): TransactionOutcome = send(guards, emptyList())
 
-    private suspend fun send(guards: List<Guard>, changes: List<Change>): TxnOutcome {
+    private suspend fun send(guards: List<VersionCondition>, changes: List<KeyChange>): TransactionOutcome {
         figures.count("transactions")
         figures.count("changes", changes.size)
-        val body = WireJson.encodeToString(Txn.serializer(), Txn(guards, changes)).encodeToByteArray()
+        val body = WireJson.encodeToString(
+            TransactionRequest.serializer(),
+            TransactionRequest(guards, changes),
+        ).encodeToByteArray()
         return when (val reply = call(http, "POST", "/txn", body, TXN_MS)) {
-            is Reply.None -> TxnOutcome.Unknown(reply.why)
+            is Reply.None -> TransactionOutcome.Unknown(reply.why)
 
             is Reply.Answer -> when (reply.status) {
-                200 -> parse(Revision.serializer(), reply)?.let { TxnOutcome.Applied(it.revision) }
-                    ?: TxnOutcome.Unknown("unreadable answer")
+                200 -> parse(RevisionResponse.serializer(), reply)?.let { TransactionOutcome.Applied(it.revision) }
+                    ?: TransactionOutcome.Unknown("unreadable answer")
 
-                409 -> parse(Revision.serializer(), reply)?.let { TxnOutcome.Conflict(it.failed, it.revision) }
-                    ?: TxnOutcome.Unknown("unreadable answer")
+                409 -> parse(RevisionResponse.serializer(), reply)?.let {
+                    TransactionOutcome.Conflict(it.failed, it.revision)
+                }
+                    ?: TransactionOutcome.Unknown("unreadable answer")
 
-                400, 429, 503 -> TxnOutcome.Refused(reply.status)
+                400, 429, 503 -> TransactionOutcome.Refused(reply.status)
 
-                else -> TxnOutcome.Unknown("status ${reply.status}")
+                else -> TransactionOutcome.Unknown("status ${reply.status}")
             }
         }
     }
@@ -110,18 +115,18 @@
         return decode(LeaseGrant.serializer(), call(http, "POST", "/holds", body, GRANT_MS))?.lease
     }
 
-    suspend fun renewLease(lease: Long): RenewOutcome {
+    suspend fun renewLease(lease: Long): LeaseRenewal {
         budget.takeAtOnce()
         figures.count("renewals")
         val reply = call(http, "POST", "/holds/$lease/extend", EMPTY, RENEW_MS)
         return when ((reply as? Reply.Answer)?.status) {
-            200 -> RenewOutcome.Renewed
-            404 -> RenewOutcome.Gone
-            else -> RenewOutcome.Failed
+            200 -> LeaseRenewal.Renewed
+            404 -> LeaseRenewal.Gone
+            else -> LeaseRenewal.Failed
         }
     }
 
-    suspend fun watch(prefix: String, after: Long, waitMs: Long): WatchOutcome {
+    suspend fun watch(prefix: String, after: Long, waitMs: Long): WatchResult {
         budget.take()
         figures.count("watches")
         val reply = call(
@@ -132,15 +137,15 @@
             waitMs + WATCH_SLACK_MS,
         )
         return when {
-            reply is Reply.None -> WatchOutcome.Failed(reply.why)
+            reply is Reply.None -> WatchResult.Failed(reply.why)
 
-            reply is Reply.Answer && reply.status == 410 -> WatchOutcome.TooOld
+            reply is Reply.Answer && reply.status == 410 -> WatchResult.TooOld
 
             reply is Reply.Answer && reply.status == 200 ->
-                parse(WatchEvents.serializer(), reply)?.let { WatchOutcome.Events(it) }
-                    ?: WatchOutcome.Failed("unreadable answer")
+                parse(WatchEvents.serializer(), reply)?.let { WatchResult.Events(it) }
+                    ?: WatchResult.Failed("unreadable answer")
 
-            else -> WatchOutcome.Failed("status ${(reply as Reply.Answer).status}")
+            else -> WatchResult.Failed("status ${(reply as Reply.Answer).status}")
         }
     }
 
--- a/src/main/kotlin/io/otterknot/store/Contact.kt
+++ b/src/main/kotlin/io/otterknot/store/StoreHealth.kt
@@ -14,7 +14,7 @@
 import kotlin.random.Random
 
 /** Whether the state service answers this node. */
-class Contact(private val nowMs: () -> Long) {
+class StoreHealth(private val nowMs: () -> Long) {
     private var failures = 0
     private var failingSinceMs = 0L
     private val lostFlow = MutableStateFlow(false)
@@ -65,8 +65,8 @@
  * workers are then served as before. Every transaction is guarded and a lease counts from the sending of its renewal,
  * so nothing is lost by a request that comes later or twice on this way. In an outage nobody can carry anything.
  */
-class Relays(private val relays: List<Relay>, private val random: Random, private val nowMs: () -> Long) {
-    private val log = LoggerFactory.getLogger(Relays::class.java)
+class RelayPool(private val relays: List<Relay>, private val random: Random, private val nowMs: () -> Long) {
+    private val log = LoggerFactory.getLogger(RelayPool::class.java)
     private var chosen: Relay? = null
     private var checkedMs = Long.MIN_VALUE / 2
 
@@ -77,7 +77,7 @@
     suspend fun call(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply? {
         val relay = choose() ?: return null
         val reply = relay.carry(method, target, body, timeoutMs)
-        if (!Contact.answers(reply)) {
+        if (!StoreHealth.answers(reply)) {
             chosen = null
             checkedMs = Long.MIN_VALUE / 2
         }
@@ -105,7 +105,8 @@
 }
 
 /** The state service as this node reaches it: straight, or by way of another controller while that fails. */
-class StateLink(private val direct: Transport, private val contact: Contact, private val relays: Relays) : Transport {
+class StoreConnection(private val direct: Transport, private val contact: StoreHealth, private val relays: RelayPool) :
+    Transport {
     override suspend fun call(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
         if (contact.lost.value) carry(method, target, body, timeoutMs)?.let { return it }
         val reply =
@@ -121,7 +122,7 @@
     }
 
     private suspend fun carry(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply? =
-        relays.call(method, target, body, timeoutMs)?.also { if (Contact.answers(it)) contact.carried() }
+        relays.call(method, target, body, timeoutMs)?.also { if (StoreHealth.answers(it)) contact.carried() }
 
     /** A watch stays open, and silent, when its node is refused: it is given up as soon as anything shows that. */
     private suspend fun readStraight(target: String, timeoutMs: Long): Reply? = coroutineScope {
--- a/src/main/kotlin/io/otterknot/store/Replica.kt
+++ b/src/main/kotlin/io/otterknot/store/StoreReplica.kt
@@ -1,9 +1,9 @@
 package io.otterknot.store
 
-import io.otterknot.records.Keys
-import io.otterknot.records.MachinesRecord
+import io.otterknot.records.MachineSegmentRecord
+import io.otterknot.records.StoreKeys
 import io.otterknot.records.decodeRecord
-import io.otterknot.wire.Change
+import io.otterknot.wire.KeyChange
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.async
 import kotlinx.coroutines.channels.Channel
@@ -18,26 +18,26 @@
 import java.util.TreeMap
 import kotlin.random.Random
 
-class Entry(val value: JsonElement, val version: Long)
+class ReplicaEntry(val value: JsonElement, val version: Long)
 
 /**
  * A copy of everything this service keeps in the state service: every key is as it was at [revision] or, after all has
  * been read page by page, later; no key ever goes back. Only the watch and such a reading change it, so own transactions
  * show here when the watch brings them, never before.
  */
-class Replica(
-    private val client: StateClient,
+class StoreReplica(
+    private val client: KeyValueStoreClient,
     private val random: Random,
     private val nowMs: () -> Long,
     private val pauseMs: Long,
 ) {
-    private val log = LoggerFactory.getLogger(Replica::class.java)
-    private val entries = TreeMap<String, Entry>()
+    private val log = LoggerFactory.getLogger(StoreReplica::class.java)
+    private val entries = TreeMap<String, ReplicaEntry>()
     private val reached = MutableStateFlow(-1L)
     private val barrier = Barrier()
 
     /** Told of every change, in order; the value is null for a removed key. */
-    var onChange: (key: String, entry: Entry?) -> Unit = { _, _ -> }
+    var onChange: (key: String, entry: ReplicaEntry?) -> Unit = { _, _ -> }
 
     /** Told once a batch of changes has been applied. */
     var onBatch: () -> Unit = {}
@@ -50,19 +50,19 @@
         reached.first { it >= 0 }
     }
 
-    operator fun get(key: String): Entry? = entries[key]
+    operator fun get(key: String): ReplicaEntry? = entries[key]
 
     /** What [key] holds now, to decide a change of it on. */
     fun snapshot(key: String): Snapshot<JsonElement> =
         entries[key]?.let { Snapshot(key, it.value, it.version) } ?: Snapshot.absent(key)
 
-    fun under(prefix: String): List<Pair<String, Entry>> =
+    fun under(prefix: String): List<Pair<String, ReplicaEntry>> =
         entries.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.map { it.key to it.value }
 
     /** The machines that may hold tasks of a zone, with their types, by segment. */
     fun machineSegments(zone: String): Map<Int, Map<String, String>> =
-        under(Keys.machines(zone)).associate { (key, entry) ->
-            key.substringAfterLast('/').toInt() to decodeRecord(MachinesRecord.serializer(), entry.value).types
+        under(StoreKeys.machines(zone)).associate { (key, entry) ->
+            key.substringAfterLast('/').toInt() to decodeRecord(MachineSegmentRecord.serializer(), entry.value).types
         }
 
     /** Keeps the copy up to date until cancelled. */
@@ -77,19 +77,19 @@
             when (val outcome = watch()) {
                 null -> Unit
 
-                is WatchOutcome.Events -> {
+                is WatchResult.Events -> {
                     apply(outcome.events.events)
                     if (outcome.events.revision > reached.value) reached.value = outcome.events.revision
                     onBatch()
                     pauseBetweenWatches()
                 }
 
-                WatchOutcome.TooOld -> {
+                WatchResult.TooOld -> {
                     log.warn("the watch fell behind; reading everything again")
                     if (!load()) delay(400 + random.nextLong(400))
                 }
 
-                is WatchOutcome.Failed -> {
+                is WatchResult.Failed -> {
                     log.info("watch failed: {}", outcome.why)
                     delay(250 + random.nextLong(500))
                 }
@@ -121,24 +121,24 @@
     private val stuck = Channel<Unit>(Channel.CONFLATED)
 
     /** The next changes; null: the watch was given up. */
-    private suspend fun watch(): WatchOutcome? = coroutineScope {
+    private suspend fun watch(): WatchResult? = coroutineScope {
         while (stuck.tryReceive().isSuccess) Unit
-        val answer = async { client.watch(Keys.ROOT, reached.value, WATCH_MS) }
-        select<WatchOutcome?> {
+        val answer = async { client.watch(StoreKeys.ROOT, reached.value, WATCH_MS) }
+        select<WatchResult?> {
             answer.onAwait { it }
             stuck.onReceive { null }
         }.also { answer.cancel() }
     }
 
     private suspend fun load(): Boolean {
-        val seen = HashMap<String, Entry>()
+        val seen = HashMap<String, ReplicaEntry>()
         var start = -1L
         var after: String? = null
         while (true) {
-            val page = client.list(Keys.ROOT, after) ?: return false
+            val page = client.list(StoreKeys.ROOT, after) ?: return false
             // Later pages may be newer than the first: the watch then repeats what they already hold.
             if (start < 0) start = page.revision
-            for (item in page.items) seen[item.key] = Entry(item.value, item.version)
+            for (item in page.items) seen[item.key] = ReplicaEntry(item.value, item.version)
             if (!page.more || page.items.isEmpty()) break
             after = page.items.last().key
         }
@@ -162,14 +162,14 @@
         return true
     }
 
-    private fun apply(events: List<Change>) {
+    private fun apply(events: List<KeyChange>) {
         for (event in events) {
             val version = event.version ?: continue
             val known = entries[event.key]
             if (known != null && known.version >= version) continue
             val value = event.value
             if (event.put != null && value != null) {
-                val entry = Entry(value, version)
+                val entry = ReplicaEntry(value, version)
                 entries[event.key] = entry
                 onChange(event.key, entry)
             } else if (known != null) {
