--- a/src/main/kotlin/io/otterknot/store/WriteLimits.kt
+++ b/src/main/kotlin/io/otterknot/store/WriteLimits.kt
@@ -1,6 +1,6 @@
 package io.otterknot.store
 
-import io.otterknot.wire.Change
+import io.otterknot.wire.KeyChange
 import kotlinx.serialization.json.JsonElement
 import okio.utf8Size
 import org.slf4j.LoggerFactory
@@ -24,16 +24,16 @@
     /** What a record that is built up piece by piece may take: some room is left for what surrounds the pieces. */
     val recordBytes: Int get() = minOf((valueBytes * RECORD_SHARE).toInt(), MAX_RECORD_BYTES)
 
-    fun fits(change: Change): Boolean = change.valueBytes <= valueBytes
+    fun fits(change: KeyChange): Boolean = change.valueBytes <= valueBytes
 
     /** Whether each of its values fits. */
-    fun fits(change: GuardedChange): Boolean = change.changes.all(::fits)
+    fun fits(change: CompareAndSwap): Boolean = change.changes.all(::fits)
 
     /**
      * The state service has refused [changes] as too large. Several changes are halved in number first, as their number
      * may be what is too large; the size of a single one speaks for itself.
      */
-    fun refused(changes: List<Change>) {
+    fun refused(changes: List<KeyChange>) {
         if (changes.size > 1) {
             txnOps = minOf(txnOps, changes.size / 2)
         } else {
@@ -59,7 +59,7 @@
 }
 
 /** The bytes of the value that is put; 0 for a removal. */
-val Change.valueBytes: Int get() = value?.utf8Bytes ?: 0
+val KeyChange.valueBytes: Int get() = value?.utf8Bytes ?: 0
 
 /** The bytes that it takes as a value. */
 internal val JsonElement.utf8Bytes: Int get() = toString().utf8Size().toInt()
--- a/src/main/kotlin/io/otterknot/wire/Cloud.kt
+++ b/src/main/kotlin/io/otterknot/wire/Cloud.kt
@@ -21,7 +21,7 @@
 data class MachineTypes(@SerialName("Breeds") val types: List<MachineType>)
 
 @Serializable
-data class RentRequest(
+data class ScaleOutRequest(
     @SerialName("Bid") val request: String,
     @SerialName("Breed") val type: String,
     @SerialName("Reach") val zone: String,
--- a/src/main/kotlin/io/otterknot/wire/Jobs.kt
+++ b/src/main/kotlin/io/otterknot/wire/Jobs.kt
@@ -66,24 +66,24 @@
 
 fun isJobId(text: String): Boolean = jobIdForm.matches(text)
 
-/** Reads a submission, strictly: what is missing, of the wrong type or out of range is named in [Malformed]. */
+/** Reads a submission, strictly: what is missing, of the wrong type or out of range is named in [MalformedMessageException]. */
 fun parseSubmission(body: ByteArray): JobSpec {
     val element: JsonElement = try {
         WireJson.parseToJsonElement(body.decodeToString(throwOnInvalidSequence = true))
     } catch (e: SerializationException) {
-        throw Malformed("not JSON")
+        throw MalformedMessageException("not JSON")
     } catch (e: CharacterCodingException) {
-        throw Malformed("not UTF-8")
+        throw MalformedMessageException("not UTF-8")
     }
-    val fields = Fields(element as? JsonObject ?: throw Malformed("not a JSON object"))
+    val fields = Fields(element as? JsonObject ?: throw MalformedMessageException("not a JSON object"))
     val id = fields.text("Uid")
-    if (!isJobId(id)) throw Malformed("Uid is not of the form j-000412")
-    if (fields.text("Sort") != "sweep") throw Malformed("Sort is unknown")
+    if (!isJobId(id)) throw MalformedMessageException("Uid is not of the form j-000412")
+    if (fields.text("Sort") != "sweep") throw MalformedMessageException("Sort is unknown")
     return JobSpec(
         id = id,
         kind = fields.text("Ilk"),
         team = fields.text("Crew"),
-        priority = Priority.byWire[fields.text("Rank")] ?: throw Malformed("Rank is unknown"),
+        priority = Priority.byWire[fields.text("Rank")] ?: throw MalformedMessageException("Rank is unknown"),
         tasks = fields.count("Chores", 1, MAX_TASKS),
         cores = fields.amount("Cores"),
         cards = fields.amount("Cards"),
@@ -100,7 +100,7 @@
         saveS = fields.amount("StashS"),
         dueS = fields.optionalAmount("DueS"),
         awaits = fields.names("Awaits")?.distinct()?.onEach {
-            if (!isJobId(it)) throw Malformed("Awaits names $it, which is not of the form j-000412")
+            if (!isJobId(it)) throw MalformedMessageException("Awaits names $it, which is not of the form j-000412")
         }?.ifEmpty { null },
     )
 }
@@ -108,7 +108,8 @@
 private class Fields(private val source: JsonObject) {
     private fun present(name: String): JsonElement? = source[name]?.takeUnless { it is JsonNull }
 
-    private fun required(name: String): JsonElement = present(name) ?: throw Malformed("$name is missing")
+    private fun required(name: String): JsonElement =
+        present(name) ?: throw MalformedMessageException("$name is missing")
 
     fun text(name: String): String = asText(name, required(name))
 
@@ -120,33 +121,34 @@
 
     fun count(name: String, low: Int, high: Int): Int {
         val value = (required(name) as? JsonPrimitive)?.takeUnless { it.isString }?.content?.toLongOrNull()
-            ?: throw Malformed("$name is not an integer")
-        if (value !in low..high) throw Malformed("$name is not between $low and $high")
+            ?: throw MalformedMessageException("$name is not an integer")
+        if (value !in low..high) throw MalformedMessageException("$name is not between $low and $high")
         return value.toInt()
     }
 
     fun flag(name: String): Boolean = when ((required(name) as? JsonPrimitive)?.takeUnless { it.isString }?.content) {
         "true" -> true
         "false" -> false
-        else -> throw Malformed("$name is not true or false")
+        else -> throw MalformedMessageException("$name is not true or false")
     }
 
     fun names(name: String): List<String>? {
         val list = present(name) ?: return null
-        return (list as? JsonArray ?: throw Malformed("$name is not a list")).map { asText(name, it) }
+        return (list as? JsonArray ?: throw MalformedMessageException("$name is not a list")).map { asText(name, it) }
     }
 
     private fun asText(name: String, value: JsonElement): String {
         val text =
-            (value as? JsonPrimitive)?.takeIf { it.isString }?.content ?: throw Malformed("$name is not a string")
-        if (text.isEmpty() || text.length > 200) throw Malformed("$name is empty or too long")
+            (value as? JsonPrimitive)?.takeIf { it.isString }?.content
+                ?: throw MalformedMessageException("$name is not a string")
+        if (text.isEmpty() || text.length > 200) throw MalformedMessageException("$name is empty or too long")
         return text
     }
 
     private fun asAmount(name: String, value: JsonElement): Double {
         val number = (value as? JsonPrimitive)?.takeUnless { it.isString }?.content?.toDoubleOrNull()
-            ?: throw Malformed("$name is not a number")
-        if (!number.isFinite() || number < 0) throw Malformed("$name is negative or not finite")
+            ?: throw MalformedMessageException("$name is not a number")
+        if (!number.isFinite() || number < 0) throw MalformedMessageException("$name is negative or not finite")
         return number
     }
 }
--- a/src/main/kotlin/io/otterknot/wire/Json.kt
+++ b/src/main/kotlin/io/otterknot/wire/Json.kt
@@ -10,4 +10,4 @@
 }
 
 /** A message that does not follow the protocol. The text is told to the sender. */
-class Malformed(message: String) : Exception(message, null, false, false)
+class MalformedMessageException(message: String) : Exception(message, null, false, false)
--- a/src/main/kotlin/io/otterknot/wire/State.kt
+++ b/src/main/kotlin/io/otterknot/wire/State.kt
@@ -5,7 +5,7 @@
 import kotlinx.serialization.json.JsonElement
 
 @Serializable
-data class StoredValue(
+data class KeyValue(
     @SerialName("Key") val key: String,
     @SerialName("V") val value: JsonElement,
     @SerialName("Mark") val version: Long,
@@ -13,17 +13,17 @@
 )
 
 @Serializable
-data class StoredPage(
-    @SerialName("Pairs") val items: List<StoredValue>,
+data class KeyValuePage(
+    @SerialName("Pairs") val items: List<KeyValue>,
     @SerialName("More") val more: Boolean = false,
     @SerialName("Tide") val revision: Long,
 )
 
 @Serializable
-data class Guard(@SerialName("Key") val key: String, @SerialName("Mark") val version: Long)
+data class VersionCondition(@SerialName("Key") val key: String, @SerialName("Mark") val version: Long)
 
 @Serializable
-data class Change(
+data class KeyChange(
     @SerialName("Put") val put: String? = null,
     @SerialName("V") val value: JsonElement? = null,
     @SerialName("Tenure") val lease: Long? = null,
@@ -34,10 +34,13 @@
 }
 
 @Serializable
-data class Txn(@SerialName("Guards") val guards: List<Guard>, @SerialName("Then") val changes: List<Change>)
+data class TransactionRequest(
+    @SerialName("Guards") val guards: List<VersionCondition>,
+    @SerialName("Then") val changes: List<KeyChange>,
+)
 
 @Serializable
-data class Revision(@SerialName("Tide") val revision: Long, val failed: List<String> = emptyList())
+data class RevisionResponse(@SerialName("Tide") val revision: Long, val failed: List<String> = emptyList())
 
 @Serializable
 data class LeaseRequest(@SerialName("TtlMs") val ttlMs: Long)
@@ -48,5 +51,5 @@
 @Serializable
 data class WatchEvents(
     @SerialName("Tide") val revision: Long,
-    @SerialName("Log") val events: List<Change> = emptyList(),
+    @SerialName("Log") val events: List<KeyChange> = emptyList(),
 )
--- a/src/main/kotlin/io/otterknot/wire/Workers.kt
+++ b/src/main/kotlin/io/otterknot/wire/Workers.kt
@@ -6,7 +6,7 @@
 
 /** The report of a worker: the machine, its session and every task on it. */
 @Serializable
-data class Report(
+data class Heartbeat(
     @SerialName("Holt") val machine: String,
     @SerialName("Endpoint") val endpoint: String = "",
     @SerialName("Breed") val type: String,
@@ -16,7 +16,7 @@
     @SerialName("Ripple") val seq: Long,
     @SerialName("Warrant") val token: Long = 0,
     @SerialName("WarningS") val noticeS: Double? = null,
-    @SerialName("Chores") val tasks: List<TaskReport> = emptyList(),
+    @SerialName("Chores") val tasks: List<TaskStatus> = emptyList(),
 ) {
     /** The message with the larger session and number is the newer one. */
     fun newerThan(otherSession: Long, otherSeq: Long): Boolean =
@@ -24,7 +24,7 @@
 }
 
 @Serializable
-data class TaskReport(
+data class TaskStatus(
     @SerialName("Chore") val task: String,
     @SerialName("Try") val attempt: Long,
     @SerialName("Mood") val state: String,
@@ -47,10 +47,10 @@
 }
 
 @Serializable
-data class Commands(@SerialName("Warrant") val token: Long, @SerialName("Calls") val commands: List<Command>)
+data class HeartbeatResponse(@SerialName("Warrant") val token: Long, @SerialName("Calls") val commands: List<Command>)
 
 @Serializable
-data class Redirect(@SerialName("AnswerTo") val reportTo: String? = null)
+data class LeaderRedirect(@SerialName("AnswerTo") val reportTo: String? = null)
 
 /** A task's name on the wire is its job's id and its number. */
 data class TaskName(val job: String, val number: Int) {
@@ -60,7 +60,7 @@
         fun parse(text: String): TaskName {
             val slash = text.indexOf('/')
             val number = if (slash > 0) text.substring(slash + 1).toIntOrNull() else null
-            if (number == null || number !in 0 until MAX_TASKS) throw Malformed("Chore is not a task")
+            if (number == null || number !in 0 until MAX_TASKS) throw MalformedMessageException("Chore is not a task")
             return TaskName(text.substring(0, slash), number)
         }
     }
@@ -79,20 +79,20 @@
     const val ERROR = "error"
 }
 
-fun parseReport(body: ByteArray): Report {
+fun parseHeartbeat(body: ByteArray): Heartbeat {
     val report = try {
-        WireJson.decodeFromString(Report.serializer(), body.decodeToString())
+        WireJson.decodeFromString(Heartbeat.serializer(), body.decodeToString())
     } catch (e: SerializationException) {
-        throw Malformed("not a report: ${e.message?.lineSequence()?.first()}")
+        throw MalformedMessageException("not a report: ${e.message?.lineSequence()?.first()}")
     } catch (e: IllegalArgumentException) {
-        throw Malformed("not a report")
+        throw MalformedMessageException("not a report")
     }
     if (report.machine.isEmpty() || report.session < 1 || report.seq < 0 || report.token < 0) {
-        throw Malformed("Holt, Dive, Ripple or Warrant out of range")
+        throw MalformedMessageException("Holt, Dive, Ripple or Warrant out of range")
     }
     for (task in report.tasks) {
         TaskName.parse(task.task)
-        if (task.state !in TaskState.all) throw Malformed("Mood of a task is unknown")
+        if (task.state !in TaskState.all) throw MalformedMessageException("Mood of a task is unknown")
     }
     return report
 }
--- a/src/test/kotlin/io/otterknot/api/WithdrawTest.kt
+++ b/src/test/kotlin/io/otterknot/api/JobCancellationTest.kt
@@ -1,12 +1,12 @@
 package io.otterknot.api
 
-import io.otterknot.records.Final
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Keys
-import io.otterknot.records.Span
+import io.otterknot.records.StoreKeys
+import io.otterknot.records.TaskSpan
+import io.otterknot.records.TerminalState
 import io.otterknot.records.decodeRecord
 import io.otterknot.store.WriteLimits
-import io.otterknot.testing.StateBench
+import io.otterknot.testing.StoreFixture
 import io.otterknot.testing.jobChange
 import io.otterknot.testing.smallJob
 import kotlinx.coroutines.ExperimentalCoroutinesApi
@@ -20,7 +20,7 @@
 import kotlin.random.Random
 
 /** A cancellation that has to wait for its turn among the changes. */
-class WithdrawTest {
+class JobCancellationTest {
     private val id = "j-000001"
     private val spec = smallJob(id)
 
@@ -28,9 +28,9 @@
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `a job that ends while its cancellation waits stays done`() = runTest {
-        val bench = StateBench(this, changesPerS = 5.0)
+        val bench = StoreFixture(this, changesPerS = 5.0)
         val replica = bench.replica
-        val api = UserApi(
+        val api = JobApi(
             bench.client, replica, bench.readJobs(), emptyMap(), {
                 emptyList()
             }, { emptyList() }, emptyList(), WriteLimits(8_192, 40),
@@ -38,17 +38,17 @@
         )
         val background = listOf(launch { replica.follow() }, launch { replica.serveBarrier() })
         replica.awaitLoaded()
-        bench.state.store(jobChange(id, JobRecord(spec, listOf(Span("a", 0, 1)))))
+        bench.state.store(jobChange(id, JobRecord(spec, listOf(TaskSpan("a", 0, 1)))))
         delay(200)
         // The burst is used up, so the cancellation waits for most of a second.
         repeat(7) { launch { bench.budget.tryTake(1, 2_000) } }
         val answer = async { api.withdraw(id) }
         delay(100)
         assertTrue(answer.isActive, "it waits")
-        bench.state.store(jobChange(id, JobRecord(final = Final.DONE, tasks = 1)))
+        bench.state.store(jobChange(id, JobRecord(final = TerminalState.DONE, tasks = 1)))
         assertTrue(answer.await().body.decodeToString().contains("done"))
-        val stored = decodeRecord(JobRecord.serializer(), bench.state.value(Keys.job(id))!!)
-        assertEquals(Final.DONE, stored.final, "at ${testScheduler.currentTime} ms")
+        val stored = decodeRecord(JobRecord.serializer(), bench.state.value(StoreKeys.job(id))!!)
+        assertEquals(TerminalState.DONE, stored.final, "at ${testScheduler.currentTime} ms")
         background.forEach { it.cancel() }
     }
 }
--- a/src/test/kotlin/io/otterknot/api/SubmitAnswerTest.kt
+++ b/src/test/kotlin/io/otterknot/api/SubmissionResponseTest.kt
@@ -1,14 +1,14 @@
 package io.otterknot.api
 
-import io.otterknot.config.TeamFacts
+import io.otterknot.config.TeamSettings
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
-import io.otterknot.records.Final
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Span
+import io.otterknot.records.TaskSpan
+import io.otterknot.records.TerminalState
 import io.otterknot.scheduling.PartitionView
 import io.otterknot.store.WriteLimits
-import io.otterknot.testing.StateBench
+import io.otterknot.testing.StoreFixture
 import io.otterknot.testing.jobChange
 import io.otterknot.testing.smallJob
 import io.otterknot.testing.submissionBody
@@ -26,13 +26,13 @@
 import kotlin.random.Random
 
 /** What is answered to a submission whose transaction was answered late or not at all, while the job went on. */
-class SubmitAnswerTest {
+class SubmissionResponseTest {
     private val id = "j-000001"
     private val spec = smallJob(id)
 
     private fun recordOf(state: String): JobRecord? = when (state) {
-        "DONE", "CANCELLED" -> JobRecord(final = Final.valueOf(state), tasks = 1)
-        "OTHERS" -> JobRecord(spec, listOf(Span("a", 0, 1)), nonce = "another")
+        "DONE", "CANCELLED" -> JobRecord(final = TerminalState.valueOf(state), tasks = 1)
+        "OTHERS" -> JobRecord(spec, listOf(TaskSpan("a", 0, 1)), nonce = "another")
         else -> null
     }
 
@@ -59,7 +59,7 @@
         status: Int,
         state: String?,
     ) = runTest {
-        val bench = StateBench(this) { service ->
+        val bench = StoreFixture(this) { service ->
             val link = service.link("n")
             Transport { method, target, body, timeoutMs ->
                 if (target != "/txn") return@Transport link.call(method, target, body, timeoutMs)
@@ -69,9 +69,9 @@
             }
         }
         val types = listOf(MachineType("big", 8.0, memoryGb = 64.0, zones = listOf("a")))
-        val api = UserApi(
+        val api = JobApi(
             bench.client, bench.replica, bench.readJobs(), emptyMap(), { listOf(PartitionView("a")) }, { types },
-            listOf(TeamFacts("red")), WriteLimits(8_192, 40), { false }, bench.now, Random(1),
+            listOf(TeamSettings("red")), WriteLimits(8_192, 40), { false }, bench.now, Random(1),
         )
         val background = listOf(launch { bench.replica.follow() }, launch { bench.replica.serveBarrier() })
         bench.replica.awaitLoaded()
--- a/src/test/kotlin/io/otterknot/architecture/ClassFileTest.kt
+++ b/src/test/kotlin/io/otterknot/architecture/RuntimeLinkageTest.kt
@@ -10,7 +10,7 @@
 import kotlin.streams.asSequence
 
 /** What the compiler made of the sources, as far as a quick start depends on it. */
-class ClassFileTest {
+class RuntimeLinkageTest {
     /** Each call site that is linked at run time takes milliseconds at the first call, again after every restart. */
     @ParameterizedTest
     @ValueSource(strings = ["java/lang/invoke/StringConcatFactory", "java/lang/invoke/LambdaMetafactory"])
--- a/src/test/kotlin/io/otterknot/cluster/AnswerOrderTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/AnswerMonotonicityTest.kt
@@ -1,8 +1,8 @@
 package io.otterknot.cluster
 
-import io.otterknot.testing.Case
-import io.otterknot.testing.ClusterStandIn
-import io.otterknot.testing.DrawnFault
+import io.otterknot.testing.ClusterScenario
+import io.otterknot.testing.RandomFault
+import io.otterknot.testing.SimulatedCluster
 import io.otterknot.testing.take
 import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.coroutineScope
@@ -18,10 +18,10 @@
  *
  * A fixed list of seeds is played in each build; `-Dotterknot.search=FIRST..LAST` plays others.
  */
-class AnswerOrderTest {
+class AnswerMonotonicityTest {
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no answer is older than one that was given before`(case: Case) = case.play()
+    fun `no answer is older than one that was given before`(case: ClusterScenario) = case.play()
 
     companion object {
         /** Seeds 8, 21 and 36 broke the rule on the sources before final states were guarded rightly. */
@@ -30,19 +30,26 @@
         private const val LATEST_FAULT_MS = 9_000L
 
         @JvmStatic
-        fun seeds(): List<Case> {
+        fun seeds(): List<ClusterScenario> {
             val range = System.getProperty("otterknot.search") ?: return FIXED_SEEDS.map(::case)
             val first = range.substringBefore("..").toLong()
             val last = range.substringAfter("..").toLong()
             return (first..last).map(::case)
         }
 
-        private fun case(seed: Long): Case {
+        private fun case(seed: Long): ClusterScenario {
             val random = Random(seed * 7_919)
-            val faults = DrawnFault.all.shuffled(random).take(2 + random.nextInt(4))
+            val faults = RandomFault.all.shuffled(random).take(2 + random.nextInt(4))
             val changesPerS = listOf(12.0, 25.0, 60.0, 300.0).random(random)
             val name = "seed $seed: ${faults.joinToString { it.name }}, $changesPerS changes a second"
-            return Case(name, seeds = 1, firstSeed = seed, capacity = 6, mixture = false, changesPerS = changesPerS) {
+            return ClusterScenario(
+                name,
+                seeds = 1,
+                firstSeed = seed,
+                capacity = 6,
+                mixture = false,
+                changesPerS = changesPerS,
+            ) {
                 closeLooks = true
                 cancelSomeAtTheirEnd(random)
                 coroutineScope {
@@ -58,7 +65,7 @@
          * Four jobs a second; a quarter of them are cancelled some time after they were accepted, if not before. Some
          * await others, which may be cancelled as well.
          */
-        private suspend fun ClusterStandIn.submitJobs(random: Random) {
+        private suspend fun SimulatedCluster.submitJobs(random: Random) {
             val submitted = ArrayList<JobSpec>()
             for (id in 1..JOBS) {
                 val tasks = if (random.nextInt(10) == 0) 3 else 1
@@ -73,14 +80,14 @@
         }
 
         /** The same submission comes to other nodes within milliseconds. */
-        private fun ClusterStandIn.submitEverywhere(spec: JobSpec, random: Random) = scope.launch {
+        private fun SimulatedCluster.submitEverywhere(spec: JobSpec, random: Random) = scope.launch {
             repeat(2) {
                 delay(random.nextLong(40))
                 submitAgain(spec)
             }
         }
 
-        private fun ClusterStandIn.cancelSomeAtTheirEnd(random: Random) {
+        private fun SimulatedCluster.cancelSomeAtTheirEnd(random: Random) {
             onLastEnd = { spec ->
                 if (random.nextInt(3) == 0) {
                     scope.launch {
@@ -91,7 +98,7 @@
             }
         }
 
-        private suspend fun ClusterStandIn.play(fault: DrawnFault, random: Random) {
+        private suspend fun SimulatedCluster.play(fault: RandomFault, random: Random) {
             delay(random.nextLong(LATEST_FAULT_MS))
             fault.play(this, random)
         }
--- a/src/test/kotlin/io/otterknot/cluster/ClusterTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/ClusterTest.kt
@@ -1,6 +1,6 @@
 package io.otterknot.cluster
 
-import io.otterknot.testing.Case
+import io.otterknot.testing.ClusterScenario
 import io.otterknot.testing.take
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.delay
@@ -12,15 +12,15 @@
 class ClusterTest {
     @ParameterizedTest
     @MethodSource("cases")
-    fun `no rule breaks and every job ends`(case: Case) = case.play()
+    fun `no rule breaks and every job ends`(case: ClusterScenario) = case.play()
 
     companion object {
         @JvmStatic
         fun cases() = listOf(
-            Case("quiet") { },
-            Case("a team at its limit", teamLimit = 12.0) { },
-            Case("a team whose limit is below one task for each partition", teamLimit = 5.0) { },
-            Case("a team at its limit while controllers restart", teamLimit = 8.0) {
+            ClusterScenario("quiet") { },
+            ClusterScenario("a team at its limit", teamLimit = 12.0) { },
+            ClusterScenario("a team whose limit is below one task for each partition", teamLimit = 5.0) { },
+            ClusterScenario("a team at its limit while controllers restart", teamLimit = 8.0) {
                 for (node in nodes) {
                     crash(node)
                     delay(1_500)
@@ -28,12 +28,12 @@
                     delay(4_000)
                 }
             },
-            Case("one controller crashes and comes back") {
+            ClusterScenario("one controller crashes and comes back") {
                 crash("holt-a")
                 delay(6_000)
                 startNode("holt-a")
             },
-            Case("one controller crashes and comes back at once, again and again") {
+            ClusterScenario("one controller crashes and comes back at once, again and again") {
                 repeat(4) {
                     crash("holt-b")
                     delay(200)
@@ -41,12 +41,12 @@
                     delay(3_000)
                 }
             },
-            Case("all controllers crash") {
+            ClusterScenario("all controllers crash") {
                 nodes.forEach(::crash)
                 delay(5_000)
                 nodes.forEach(::startNode)
             },
-            Case("all controllers restart while the cloud is away") {
+            ClusterScenario("all controllers restart while the cloud is away") {
                 // Without remembered machine types nothing is placed until the cloud is back.
                 cloudAway = true
                 nodes.forEach(::crash)
@@ -56,12 +56,12 @@
                 if (starts == before) broken.add("nothing_ran while the cloud was away")
                 cloudAway = false
             },
-            Case("one controller stays away") {
+            ClusterScenario("one controller stays away") {
                 crash("holt-c")
                 delay(60_000)
                 startNode("holt-c")
             },
-            Case("controllers are restarted one after the other") {
+            ClusterScenario("controllers are restarted one after the other") {
                 for (node in nodes) {
                     crash(node)
                     delay(4_000)
@@ -69,12 +69,12 @@
                     delay(8_000)
                 }
             },
-            Case("the state service is down") {
+            ClusterScenario("the state service is down") {
                 state.outage(true)
                 delay(20_000)
                 state.outage(false)
             },
-            Case("the state service is down for longer than any lease, and all restart meanwhile") {
+            ClusterScenario("the state service is down for longer than any lease, and all restart meanwhile") {
                 state.outage(true)
                 delay(20_000)
                 nodes.forEach(::crash)
@@ -83,17 +83,17 @@
                 delay(10_000)
                 state.outage(false)
             },
-            Case("one controller alone is refused by the state service") {
+            ClusterScenario("one controller alone is refused by the state service") {
                 state.refusedFor = "holt-a"
                 delay(60_000)
                 state.refusedFor = null
             },
-            Case("answers to transactions are lost and some are applied late") {
+            ClusterScenario("answers to transactions are lost and some are applied late") {
                 state.lossy = 0.3
                 delay(40_000)
                 state.lossy = 0.0
             },
-            Case("late transactions while controllers restart") {
+            ClusterScenario("late transactions while controllers restart") {
                 state.lossy = 0.2
                 repeat(3) {
                     crash(nodes[it])
@@ -103,7 +103,7 @@
                 }
                 state.lossy = 0.0
             },
-            Case("cancellations race completions") {
+            ClusterScenario("cancellations race completions") {
                 // Without the guard on the job's version a cancellation would overwrite a job just told to be done.
                 state.lossy = 0.1
                 for (id in 101..160) {
@@ -113,21 +113,21 @@
                 delay(10_000)
                 state.lossy = 0.0
             },
-            Case("machines hang and go on within their lease, and after it") {
+            ClusterScenario("machines hang and go on within their lease, and after it") {
                 machines().forEachIndexed { index, worker ->
                     worker.hungUntilMs =
                         machines().first().bornMs + 12_000 + 5_000L * (index % 5)
                 }
                 delay(20_000)
             },
-            Case("machines hang while their controller restarts") {
+            ClusterScenario("machines hang while their controller restarts") {
                 machines().filter { it.zone == "a" }.forEach { it.hungUntilMs = it.bornMs + 30_000 }
                 crash("holt-a")
                 delay(1_000)
                 startNode("holt-a")
                 delay(10_000)
             },
-            Case("troubles in any combination") {
+            ClusterScenario("troubles in any combination") {
                 repeat(12) {
                     val node = nodes.random(random)
                     when (random.nextInt(7)) {
@@ -174,13 +174,13 @@
                 }
                 delay(30_000)
             },
-            Case("reports of some machines arrive, answers to them do not") {
+            ClusterScenario("reports of some machines arrive, answers to them do not") {
                 // Such a machine looks idle and would draw task after task; it must be given back.
                 val deaf = machines().take(2).onEach { it.unreached = true }
                 delay(45_000)
                 if (deaf.any { it in machines() }) broken.add("a machine that no answer reaches is still kept")
             },
-            Case("answers to a machine are lost from before a take-over on") {
+            ClusterScenario("answers to a machine are lost from before a take-over on") {
                 machines().filter { it.zone == "a" }.forEach { it.unreached = true }
                 cloudAway = true
                 crash("holt-a")
@@ -191,7 +191,7 @@
                 delay(20_000)
                 cloudAway = false
             },
-            Case("copies of reports come seconds to well over a lease late") {
+            ClusterScenario("copies of reports come seconds to well over a lease late") {
                 copies = 0.3
                 delay(20_000)
                 crash("holt-b")
@@ -201,7 +201,7 @@
                 delay(40_000)
                 copies = 0.0
             },
-            Case("copies of reports while machines are returned and controllers take over") {
+            ClusterScenario("copies of reports while machines are returned and controllers take over") {
                 copies = 0.5
                 for (node in nodes) {
                     crash(node)
@@ -212,7 +212,7 @@
                 }
                 copies = 0.0
             },
-            Case("a controller loses state service and other controllers, not its workers") {
+            ClusterScenario("a controller loses state service and other controllers, not its workers") {
                 state.refusedFor = "holt-a"
                 peerless.add("holt-a")
                 delay(60_000)
@@ -220,7 +220,7 @@
                 state.refusedFor = null
                 peerless.clear()
             },
-            Case("a controller alone is refused by the state service, and the others serve it") {
+            ClusterScenario("a controller alone is refused by the state service, and the others serve it") {
                 state.refusedFor = "holt-b"
                 val before = starts
                 for (id in 201..212) user(spec(id, 3, 2.0))
@@ -232,13 +232,13 @@
                 }
                 state.refusedFor = null
             },
-            Case("in an outage no node leaves the balancer's choice") {
+            ClusterScenario("in an outage no node leaves the balancer's choice") {
                 state.outage(true)
                 delay(18_000)
                 if (nodes.any { removals(it) > 0 }) broken.add("nodes flap in an outage")
                 state.outage(false)
             },
-            Case("restarts within a fraction of a second in the middle of claims, transactions late") {
+            ClusterScenario("restarts within a fraction of a second in the middle of claims, transactions late") {
                 state.lossy = 0.25
                 repeat(8) {
                     val node = nodes.random(random)
@@ -257,7 +257,7 @@
                 delay(20_000)
                 state.lossy = 0.0
             },
-            Case("the largest jobs begin while small ones keep coming") {
+            ClusterScenario("the largest jobs begin while small ones keep coming") {
                 user(spec(301, 60, 5.0))
                 user(spec(303, 120, 4.0, "bulk", Priority.BEST_EFFORT, cores = 1.0))
                 // More than the machines can do, so that shortest work first would never come to the largest.
@@ -267,11 +267,11 @@
                     delay(2_700)
                 }
             },
-            Case("machines fail every task") {
+            ClusterScenario("machines fail every task") {
                 machines().take(2).forEach { it.faulty = true }
                 delay(20_000)
             },
-            Case("a crashed controller's partitions are taken over before its machines' leases end") {
+            ClusterScenario("a crashed controller's partitions are taken over before its machines' leases end") {
                 delay(15_000)
                 crash("holt-a")
                 crash("holt-b")
@@ -290,7 +290,7 @@
                 }
                 startNode("holt-b")
             },
-            Case("a claim from a live owner, the claimant ends at once") {
+            ClusterScenario("a claim from a live owner, the claimant ends at once") {
                 // The first owner may act until its fence ends, whoever claims after the claimant.
                 cutNodes.add("holt-a")
                 while (owners()["a"] == "holt-a") delay(50)
@@ -304,7 +304,7 @@
                 cutNodes.clear()
                 startNode(claimant)
             },
-            Case("owners that lose their workers for a while, again and again") {
+            ClusterScenario("owners that lose their workers for a while, again and again") {
                 repeat(6) {
                     val node = nodes.random(random)
                     cutNodes.add(node)
@@ -318,7 +318,7 @@
                     delay(random.nextLong(4_000))
                 }
             },
-            Case("a zone that was cut off comes back to the owner that it has got meanwhile") {
+            ClusterScenario("a zone that was cut off comes back to the owner that it has got meanwhile") {
                 // Its machines come to any node and have been with none since: that says nothing against the new owner.
                 repeat(40) { boot("a", spot = false) }
                 delay(6_000)
@@ -333,7 +333,7 @@
                     broken.add("the partition of a went from $owner to ${owners()["a"]}")
                 }
             },
-            Case(
+            ClusterScenario(
                 "hundreds of machines: a wave of losses, then all controllers crash in a burst and again in the middle of their claims",
                 capacity = 60,
             ) {
@@ -372,7 +372,7 @@
                 delay(20_000)
                 copies = 0.0
             },
-            Case(
+            ClusterScenario(
                 "hundreds of machines: an owner stands still, then all workers come to the one controller left",
                 capacity = 60,
             ) {
@@ -399,7 +399,7 @@
                 startNode("holt-a")
                 startNode("holt-b")
             },
-            Case("a controller is cut off from the workers") {
+            ClusterScenario("a controller is cut off from the workers") {
                 cutNodes.add("holt-b")
                 delay(30_000)
                 cutNodes.clear()
--- a/src/test/kotlin/io/otterknot/cluster/MeetingTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/CombinedFailureTest.kt
@@ -1,8 +1,8 @@
 package io.otterknot.cluster
 
-import io.otterknot.testing.Case
-import io.otterknot.testing.ClusterStandIn
+import io.otterknot.testing.ClusterScenario
 import io.otterknot.testing.LEASE_S
+import io.otterknot.testing.SimulatedCluster
 import io.otterknot.testing.take
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.delay
@@ -11,28 +11,28 @@
 import org.junit.jupiter.params.provider.MethodSource
 
 /** Two troubles that meet, each brought about on purpose, at several distances where the distance matters. */
-class MeetingTest {
+class CombinedFailureTest {
     @ParameterizedTest
     @MethodSource("cases")
-    fun `no rule breaks where troubles meet`(case: Case) = case.play()
+    fun `no rule breaks where troubles meet`(case: ClusterScenario) = case.play()
 
     companion object {
         /**
          * Work that is there for long, in every partition: what is called off must be ended, it does not end by itself.
          */
-        private suspend fun ClusterStandIn.longWork(jobs: Int = 8, runS: Double = 120.0) {
+        private suspend fun SimulatedCluster.longWork(jobs: Int = 8, runS: Double = 120.0) {
             for (id in 201..200 + jobs) user(spec(id, 4, runS))
             delay(9_000)
         }
 
-        private suspend fun ClusterStandIn.outage(ms: Long) {
+        private suspend fun SimulatedCluster.outage(ms: Long) {
             state.outage(true)
             delay(ms)
             state.outage(false)
         }
 
         private fun gaps() = listOf(300L, 900L, 1_400L, 2_000L, 6_000L, 14_000L).map { apart ->
-            Case(
+            ClusterScenario(
                 "cancelled while the state service refuses one owner alone, then it is out for longer than cancel_s: $apart ms apart",
                 seeds = 1,
                 mixture = false,
@@ -50,7 +50,7 @@
         }
 
         /** The latest that a fence can end: just before everything is lost, the owner was told that all is well. */
-        private fun gapAfterRenewal() = Case(
+        private fun gapAfterRenewal() = ClusterScenario(
             "the same right after a renewal, so that the owner may act for as long as it ever may",
             seeds = 3,
             mixture = false,
@@ -68,7 +68,7 @@
         }
 
         private fun atLimit() = listOf(200L, 1_500L, 4_000L).map { apart ->
-            Case(
+            ClusterScenario(
                 "a team at its limit, its leader ends, machines can't be asked, and a job is called off $apart ms before",
                 teamLimit = 16.0,
                 seeds = 2,
@@ -90,7 +90,7 @@
         }
 
         private fun isolated() = listOf(1_000L, 8_000L, 15_000L).map { apart ->
-            Case(
+            ClusterScenario(
                 "a leader loses state service and peers but not its workers, and jobs are called off through the new one after $apart ms",
                 seeds = 1,
                 mixture = false,
@@ -108,7 +108,7 @@
 
         @JvmStatic
         fun cases() = gaps() + gapAfterRenewal() + atLimit() + isolated() + listOf(
-            Case(
+            ClusterScenario(
                 "a node's watch stands still while all else that it asks is answered, and jobs are called off",
                 seeds = 2,
                 mixture = false,
@@ -121,7 +121,7 @@
                 delay(50_000)
                 state.watchless = null
             },
-            Case(
+            ClusterScenario(
                 "a node that has lost its lease gets another while its watch stands still",
                 seeds = 2,
                 mixture = false,
@@ -136,7 +136,7 @@
                 startNode("holt-c")
                 state.watchless = null
             },
-            Case("answers to workers are held up for seconds, and machines go on") {
+            ClusterScenario("answers to workers are held up for seconds, and machines go on") {
                 answerMs = 5_500
                 machines().take(3).forEach { it.hang(6_000) }
                 delay(20_000)
@@ -144,7 +144,7 @@
                 delay(10_000)
                 answerMs = 0
             },
-            Case(
+            ClusterScenario(
                 "controllers get no turn for up to twice a lease, timers and renewals come late, jobs are called off",
             ) {
                 longWork()
@@ -157,7 +157,7 @@
                 nodes.forEach { pause(it, 12_000) }
                 delay(25_000)
             },
-            Case("a controller gets no turn in the middle of a take-over, with a burst of work") {
+            ClusterScenario("a controller gets no turn in the middle of a take-over, with a burst of work") {
                 for (id in 201..216) user(spec(id, 1 + id % 8, 3.0))
                 crash("holt-a")
                 delay(3_000)
@@ -171,7 +171,7 @@
                 startNode("holt-c")
                 delay(10_000)
             },
-            Case("transactions are carried out 2 to 12 s late, after newer ones of the same controller") {
+            ClusterScenario("transactions are carried out 2 to 12 s late, after newer ones of the same controller") {
                 state.lateWrites = 0.3
                 for (id in 201..216) {
                     user(spec(id, 1 + id % 3, 2.0), if (id % 3 == 0) 2_000 else null)
@@ -181,7 +181,10 @@
                 delay(20_000)
                 state.lateWrites = 0.0
             },
-            Case("late transactions while partitions change hands, and a team is at its limit", teamLimit = 16.0) {
+            ClusterScenario(
+                "late transactions while partitions change hands, and a team is at its limit",
+                teamLimit = 16.0,
+            ) {
                 state.lateWrites = 0.3
                 repeat(6) {
                     restart(nodes[it % 3])
@@ -190,7 +193,7 @@
                 delay(15_000)
                 state.lateWrites = 0.0
             },
-            Case("jobs of two and three tasks end far apart across changes of leader", mixture = false) {
+            ClusterScenario("jobs of two and three tasks end far apart across changes of leader", mixture = false) {
                 for (id in 201..212) {
                     val spec = spec(id, 2 + id % 2, 2.0)
                     runS["${spec.id}/1"] = 14.0
@@ -204,7 +207,7 @@
                     startNode(nodes[it % 3])
                 }
             },
-            Case("jobs bound to one zone, arrays too, lose machines", mixture = false) {
+            ClusterScenario("jobs bound to one zone, arrays too, lose machines", mixture = false) {
                 for (id in 201..206) user(spec(id, 6, 6.0, zone = "a"))
                 for (id in listOf(203, 210, 217, 224)) user(spec(id + 100, 5, 8.0).copy(oneZone = true))
                 for (id in listOf(401, 402)) user(spec(id, 5, 6.0, spot = false).copy(spread = true))
@@ -215,7 +218,7 @@
                 restart("holt-a")
                 delay(8_000)
             },
-            Case("jobs that keep to one zone wait in a full one while another has room", mixture = false) {
+            ClusterScenario("jobs that keep to one zone wait in a full one while another has room", mixture = false) {
                 for (id in 301..320) user(spec(id * 7, 2, 20.0, "bulk", Priority.BEST_EFFORT))
                 delay(1_500)
                 // Urgent work that may run nowhere else fills the zone for longer than anything may wait.
@@ -226,14 +229,14 @@
                 }
                 delay(10_000)
             },
-            Case("all controllers are away for longer than a lease", mixture = false) {
+            ClusterScenario("all controllers are away for longer than a lease", mixture = false) {
                 longWork(runS = 30.0)
                 cancelNow(2)
                 nodes.forEach(::crash)
                 delay(LEASE_S.toLong() * 1_000 + 5_000)
                 nodes.forEach(::startNode)
             },
-            Case("reports are held back until a new leader has acted, and arrive there", mixture = false) {
+            ClusterScenario("reports are held back until a new leader has acted, and arrive there", mixture = false) {
                 longWork(runS = 20.0)
                 copies = 1.0
                 for (node in nodes) {
@@ -245,7 +248,10 @@
                 }
                 copies = 0.0
             },
-            Case("old reports arrive after newer ones, of earlier sessions and attempts too", mixture = false) {
+            ClusterScenario(
+                "old reports arrive after newer ones, of earlier sessions and attempts too",
+                mixture = false,
+            ) {
                 longWork(runS = 15.0)
                 copies = 1.0
                 repeat(3) {
@@ -254,7 +260,7 @@
                 }
                 copies = 0.0
             },
-            Case("controllers hand over and back, all end, and one returns within a second") {
+            ClusterScenario("controllers hand over and back, all end, and one returns within a second") {
                 repeat(3) {
                     crash("holt-a")
                     delay(9_000)
@@ -268,7 +274,10 @@
                     delay(2_000)
                 }
             },
-            Case("cancellation, question and repeated submission meet the end of the last task", mixture = false) {
+            ClusterScenario(
+                "cancellation, question and repeated submission meet the end of the last task",
+                mixture = false,
+            ) {
                 onLastEnd = { spec ->
                     scope.launch {
                         delay(random.nextLong(1_200))
@@ -287,7 +296,7 @@
                 }
                 delay(15_000)
             },
-            Case("leaders change ten times in two minutes, also inside an outage") {
+            ClusterScenario("leaders change ten times in two minutes, also inside an outage") {
                 repeat(10) {
                     val leader = owners().values.toSet().randomOrNull(random) ?: nodes[it % 3]
                     if (it % 4 == 1) state.outage(true)
@@ -300,14 +309,14 @@
                 }
                 state.outage(false)
             },
-            Case("machines reach no controller for longer than their lease") {
+            ClusterScenario("machines reach no controller for longer than their lease") {
                 machines().filter { it.zone == "a" }.forEach { it.mute = true }
                 machines().filter { it.zone == "b" }.take(1).forEach { it.mute = true }
                 cancelNow(3)
                 delay(25_000)
                 machines().forEach { it.mute = false }
             },
-            Case(
+            ClusterScenario(
                 "a zone with workers and a controller is cut off for longer than a lease, and jobs are called off",
                 mixture = false,
             ) {
@@ -318,7 +327,7 @@
                 delay(50_000)
                 cut(null)
             },
-            Case(
+            ClusterScenario(
                 "a leader ends while machines with long tasks can't be reached or don't hear the new one's answer",
                 mixture = false,
             ) {
@@ -334,7 +343,10 @@
                 startNode("holt-a")
                 startNode("holt-b")
             },
-            Case("the state service answers slowly, then refuses the leader alone, then everybody", mixture = false) {
+            ClusterScenario(
+                "the state service answers slowly, then refuses the leader alone, then everybody",
+                mixture = false,
+            ) {
                 longWork()
                 state.slowMs = 900
                 delay(5_000)
@@ -347,7 +359,7 @@
                 state.refusedFor = null
                 state.slowMs = 0
             },
-            Case("more work than room, urgent and not, over slow links") {
+            ClusterScenario("more work than room, urgent and not, over slow links") {
                 answerMs = 3_000
                 for (id in 201..230) {
                     user(
@@ -370,7 +382,7 @@
                 cancelNow(6)
                 answerMs = 0
             },
-            Case("jobs are called off whose machines hang, deaf ones too", mixture = false) {
+            ClusterScenario("jobs are called off whose machines hang, deaf ones too", mixture = false) {
                 longWork()
                 machines().take(3).forEach { it.hang(9_000) }
                 machines().drop(3).take(2).forEach { it.unreached = true }
--- a/src/test/kotlin/io/otterknot/cluster/PipelineCaseTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/DependencyScenarioTest.kt
@@ -1,8 +1,8 @@
 package io.otterknot.cluster
 
-import io.otterknot.config.NextStateFacts
-import io.otterknot.testing.Case
-import io.otterknot.testing.ClusterStandIn
+import io.otterknot.config.AnnouncedStoreLimits
+import io.otterknot.testing.ClusterScenario
+import io.otterknot.testing.SimulatedCluster
 import io.otterknot.testing.take
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.delay
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.provider.MethodSource
 
 /** Pipelines, lowered limits and two versions side by side, with the troubles that they meet. */
-class PipelineCaseTest {
+class DependencyScenarioTest {
     @ParameterizedTest
     @MethodSource("cases")
-    fun `no job starts too early, none is left an orphan, and every job ends`(case: Case) = case.play()
+    fun `no job starts too early, none is left an orphan, and every job ends`(case: ClusterScenario) = case.play()
 
     companion object {
-        private fun ClusterStandIn.job(id: Int, tasks: Int, runS: Double, vararg awaits: Int, last: Boolean = false) =
+        private fun SimulatedCluster.job(id: Int, tasks: Int, runS: Double, vararg awaits: Int, last: Boolean = false) =
             spec(
                 id,
                 tasks,
@@ -38,20 +38,25 @@
         /**
          * A first job, a fan of so many after it, one that needs half of these and one that needs all and the first.
          */
-        private fun ClusterStandIn.pipeline(base: Int, fan: Int = 3, runS: Double = 4.0, cancelFirstMs: Long? = null) {
+        private fun SimulatedCluster.pipeline(
+            base: Int,
+            fan: Int = 3,
+            runS: Double = 4.0,
+            cancelFirstMs: Long? = null,
+        ) {
             user(job(base, 2, runS), cancelFirstMs)
             for (at in 1..fan) user(job(base + at, 1 + at % 3, runS, base))
             user(job(base + fan + 1, 2, runS, *IntArray((fan + 1) / 2) { base + 1 + it }))
             user(job(base + fan + 2, 1, 2.0, base, base + fan + 1, *IntArray(fan) { base + 1 + it }, last = true))
         }
 
-        private suspend fun ClusterStandIn.pipelines(count: Int, everyMs: Long = 1_500) = repeat(count) {
+        private suspend fun SimulatedCluster.pipelines(count: Int, everyMs: Long = 1_500) = repeat(count) {
             pipeline(1_000 + it * 20, cancelFirstMs = if (it % 3 == 2) random.nextLong(9_000) else null)
             delay(everyMs)
         }
 
         private fun gaps() = listOf(200L, 1_500L, 9_000L).map { apart ->
-            Case(
+            ClusterScenario(
                 "the first of a pipeline is called off, the leader refused alone, then the state service out: $apart ms apart",
                 seeds = 1,
                 mixture = false,
@@ -68,15 +73,15 @@
             }
         }
 
-        private val lower = NextStateFacts(writeRps = 40.0, valueKb = 2.0, txnOps = 6)
+        private val lower = AnnouncedStoreLimits(writeRps = 40.0, valueKb = 2.0, txnOps = 6)
 
-        private fun ClusterStandIn.lowerLimits() {
+        private fun SimulatedCluster.lowerLimits() {
             state.maxValueBytes = 2_048
             state.maxOps = 6
             state.maxWritesPerS = 40.0
         }
 
-        private fun ClusterStandIn.nothingTooLarge() {
+        private fun SimulatedCluster.nothingTooLarge() {
             if (state.tooLarge.isNotEmpty()) broken.add("refused for size: ${state.tooLarge}")
         }
 
@@ -84,7 +89,7 @@
          * Nothing in the settings tells of these limits: only refusals do, and nothing may be lost or held up by them.
          */
         private fun unannounced() = listOf("before", "while", "after").map { moment ->
-            Case("limits that nobody announced hold from $moment the upgrade on", seeds = 1) {
+            ClusterScenario("limits that nobody announced hold from $moment the upgrade on", seeds = 1) {
                 fun lower() {
                     state.maxValueBytes = 1_100
                     state.maxOps = 3
@@ -115,8 +120,8 @@
 
         @JvmStatic
         fun cases() = gaps() + unannounced() + listOf(
-            Case("pipelines, some called off", mixture = false) { pipelines(8) },
-            Case("a chain of thirty and a fan of fifty", seeds = 1, mixture = false) {
+            ClusterScenario("pipelines, some called off", mixture = false) { pipelines(8) },
+            ClusterScenario("a chain of thirty and a fan of fifty", seeds = 1, mixture = false) {
                 user(job(2_000, 1, 0.5))
                 for (at in 1..30) user(job(2_000 + at, 1, 0.5, 2_000 + at - 1, last = at == 30))
                 pipeline(3_000, fan = 50, runS = 2.0)
@@ -126,7 +131,10 @@
                 cancel(job(4_000, 1, 30.0))
                 delay(5_000)
             },
-            Case("a fan of five hundred, and layers that share their ancestors, cancelled in the middle", seeds = 1) {
+            ClusterScenario(
+                "a fan of five hundred, and layers that share their ancestors, cancelled in the middle",
+                seeds = 1,
+            ) {
                 user(job(10_000, 1, 8.0))
                 for (at in 1..500) user(job(10_000 + at, 1, 0.5, 10_000))
                 // Each job of a layer awaits all of the layer before it.
@@ -138,7 +146,7 @@
                 cancel(job(20_023, 1, 3.0, *IntArray(6) { 20_010 + it }))
                 delay(5_000)
             },
-            Case("pipelines while controllers crash and transactions come late") {
+            ClusterScenario("pipelines while controllers crash and transactions come late") {
                 state.lateWrites = 0.2
                 scope.launch { pipelines(6, 4_000) }
                 repeat(5) {
@@ -150,7 +158,7 @@
                 }
                 state.lateWrites = 0.0
             },
-            Case("a job is called off as its last task ends, and others await it", mixture = false) {
+            ClusterScenario("a job is called off as its last task ends, and others await it", mixture = false) {
                 onLastEnd = { spec ->
                     if (spec.awaits == null && random.nextInt(3) > 0) {
                         scope.launch {
@@ -162,7 +170,7 @@
                 pipelines(14, 900)
                 delay(15_000)
             },
-            Case("jobs that await another are submitted as it is called off", mixture = false) {
+            ClusterScenario("jobs that await another are submitted as it is called off", mixture = false) {
                 repeat(12) { at ->
                     val first = job(1_000 + at * 20, 2, 20.0)
                     user(first)
@@ -190,7 +198,10 @@
                 }
                 delay(5_000)
             },
-            Case("an owner that acts until its fence ends, claimed from it, while jobs become ready", mixture = false) {
+            ClusterScenario(
+                "an owner that acts until its fence ends, claimed from it, while jobs become ready",
+                mixture = false,
+            ) {
                 pipelines(4, 800)
                 cutNodes.add("holt-a")
                 delay(12_000)
@@ -200,7 +211,7 @@
                 delay(30_000)
                 cut(null)
             },
-            Case("limits are lowered without notice, with pipelines and crashes") {
+            ClusterScenario("limits are lowered without notice, with pipelines and crashes") {
                 next = lower
                 nodes.forEach(::restart)
                 scope.launch { pipelines(6, 2_500) }
@@ -214,7 +225,7 @@
                 delay(10_000)
                 nothingTooLarge()
             },
-            Case("segments that were written larger are split once limits are lowered", mixture = false) {
+            ClusterScenario("segments that were written larger are split once limits are lowered", mixture = false) {
                 for (zone in zones) repeat(90) { boot(zone, spot = it % 2 == 0) }
                 for (id in 201..260) user(spec(id, 20, 6.0))
                 delay(14_000)
@@ -224,7 +235,7 @@
                 ) {
                     broken.add("no segment is large before")
                 }
-                next = NextStateFacts(valueKb = 1.0)
+                next = AnnouncedStoreLimits(valueKb = 1.0)
                 nodes.forEach(::restart)
                 delay(1_000)
                 state.maxValueBytes = 1_024
@@ -233,7 +244,7 @@
                 delay(25_000)
                 nothingTooLarge()
             },
-            Case(
+            ClusterScenario(
                 "the new version comes, a controller at a time, and pipelines after it; crashes, late transactions and copies meanwhile",
             ) {
                 old.addAll(nodes)
@@ -256,7 +267,9 @@
                 state.lateWrites = 0.0
                 copies = 0.0
             },
-            Case("old and new versions by turns, back within a second, with late transactions, handovers and copies") {
+            ClusterScenario(
+                "old and new versions by turns, back within a second, with late transactions, handovers and copies",
+            ) {
                 old.addAll(nodes)
                 nodes.forEach(::restart)
                 state.lateWrites = 0.2
@@ -276,7 +289,7 @@
                 copies = 0.0
                 pipelines(3)
             },
-            Case(
+            ClusterScenario(
                 "ten changes of owner between old and new, in both directions, with an outage and a team at its limit",
                 teamLimit = 16.0,
             ) {
--- a/src/test/kotlin/io/otterknot/cluster/LoadSpreadClusterTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/LoadSpreadClusterTest.kt
@@ -3,11 +3,11 @@
 import io.otterknot.config.LoadSpreadMode
 import io.otterknot.config.LoadSpreadSettings
 import io.otterknot.config.OperatorSettings
-import io.otterknot.config.TeamFacts
+import io.otterknot.config.TeamSettings
 import io.otterknot.rebalance.MoveKind
 import io.otterknot.rebalance.MoveState
-import io.otterknot.testing.Case
-import io.otterknot.testing.ClusterStandIn
+import io.otterknot.testing.ClusterScenario
+import io.otterknot.testing.SimulatedCluster
 import io.otterknot.testing.take
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.delay
@@ -21,7 +21,7 @@
 class LoadSpreadClusterTest {
     @ParameterizedTest
     @MethodSource("cases")
-    fun `no rule breaks and every job ends`(case: Case) = case.play()
+    fun `no rule breaks and every job ends`(case: ClusterScenario) = case.play()
 
     /** The same surge with load spread off and on: what a quiet team, within its guarantee, waits meanwhile. */
     @Test
@@ -51,22 +51,29 @@
 
     companion object {
         private val ACTING = OperatorSettings(LoadSpreadSettings(LoadSpreadMode.ACT, anyPriority = true))
-        private val TEAMS = listOf(TeamFacts("red", cpus = 24.0), TeamFacts("blue", cpus = 24.0))
+        private val TEAMS = listOf(TeamSettings("red", cpus = 24.0), TeamSettings("blue", cpus = 24.0))
 
         private fun surgeCase(
             name: String,
             operators: OperatorSettings = ACTING,
             seeds: Long = 1,
             mixture: Boolean = false,
-            trouble: suspend ClusterStandIn.() -> Unit,
-        ) = Case(name, seeds = seeds, mixture = mixture, operators = operators, teams = TEAMS, trouble = trouble)
+            trouble: suspend SimulatedCluster.() -> Unit,
+        ) = ClusterScenario(
+            name,
+            seeds = seeds,
+            mixture = mixture,
+            operators = operators,
+            teams = TEAMS,
+            trouble = trouble,
+        )
 
-        private fun ClusterStandIn.surge(team: String, count: Int, firstId: Int = 1_000, runS: Double = 6.0) {
+        private fun SimulatedCluster.surge(team: String, count: Int, firstId: Int = 1_000, runS: Double = 6.0) {
             for (id in firstId until firstId + count) user(spec(id, 1, runS, team = team, zone = null))
         }
 
         /** A surge of one team beside quiet work of the other, for a trouble in the middle. */
-        private fun troubled(name: String, seeds: Long = 2, trouble: suspend ClusterStandIn.() -> Unit) =
+        private fun troubled(name: String, seeds: Long = 2, trouble: suspend SimulatedCluster.() -> Unit) =
             surgeCase(name, seeds = seeds, mixture = true) {
                 surge("red", count = 120)
                 scope.launch {
--- a/src/test/kotlin/io/otterknot/cluster/OddRequestTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/UnusualRequestTest.kt
@@ -2,7 +2,7 @@
 
 import io.otterknot.http.HttpRequest
 import io.otterknot.http.HttpResponse
-import io.otterknot.testing.ClusterStandIn
+import io.otterknot.testing.SimulatedCluster
 import io.otterknot.wire.JobStatus
 import io.otterknot.wire.Refusal
 import io.otterknot.wire.WireJson
@@ -24,14 +24,14 @@
 
 /** What users ask that they should not, and what they ask twice. */
 @OptIn(ExperimentalCoroutinesApi::class)
-class OddRequestTest {
+class UnusualRequestTest {
     private val requiredFields =
         "Uid Ilk Crew Sort Rank Chores Cores Cards MemoryGb Pelt SizeGb SamePlace Scatter Driftwood GuessS CacheS StashS"
             .split(' ')
 
-    private fun onCluster(work: suspend ClusterStandIn.() -> Unit) = runTest(timeout = 2.minutes) {
+    private fun onCluster(work: suspend SimulatedCluster.() -> Unit) = runTest(timeout = 2.minutes) {
         coroutineScope {
-            val cluster = ClusterStandIn(this, 1, { testScheduler.currentTime }, teamLimit = 12.0)
+            val cluster = SimulatedCluster(this, 1, { testScheduler.currentTime }, teamLimit = 12.0)
             cluster.zones.forEach { cluster.boot(it, spot = false) }
             cluster.nodes.forEach(cluster::startNode)
             delay(8_000)
@@ -40,7 +40,7 @@
         }
     }
 
-    private suspend fun ClusterStandIn.send(
+    private suspend fun SimulatedCluster.send(
         method: String,
         path: String,
         body: ByteArray = ByteArray(0),
@@ -50,7 +50,7 @@
 
     private fun HttpResponse.why() = WireJson.decodeFromString(Refusal.serializer(), body.decodeToString()).error
 
-    private fun ClusterStandIn.fields(id: Int): JsonObject =
+    private fun SimulatedCluster.fields(id: Int): JsonObject =
         WireJson.parseToJsonElement(body(spec(id, 2)).decodeToString()).jsonObject
 
     private fun JsonObject.but(name: String, value: JsonPrimitive?) = (
--- a/src/test/kotlin/io/otterknot/config/OperatorSettingsTest.kt
+++ b/src/test/kotlin/io/otterknot/config/OperatorSettingsTest.kt
@@ -35,7 +35,7 @@
         ],
     )
     fun `what is bad or unknown is refused in one line`(text: String, message: String) {
-        val refusal = assertThrows(BadSettings::class.java) { OperatorSettingsFile.parse(text) }
+        val refusal = assertThrows(InvalidSettingsException::class.java) { OperatorSettingsFile.parse(text) }
         assertEquals(message, refusal.message.orEmpty().take(message.length))
         assertFalse('\n' in refusal.message.orEmpty())
     }
--- a/src/test/kotlin/io/otterknot/controller/JobFinisherTest.kt
+++ b/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
@@ -1,18 +1,18 @@
 package io.otterknot.controller
 
-import io.otterknot.leadership.Ownership
-import io.otterknot.records.DoneRecord
-import io.otterknot.records.Final
+import io.otterknot.leadership.PartitionLeadership
+import io.otterknot.records.CompletionSegmentRecord
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Keys
-import io.otterknot.records.Span
+import io.otterknot.records.StoreKeys
+import io.otterknot.records.TaskSpan
+import io.otterknot.records.TerminalState
 import io.otterknot.records.decodeRecord
 import io.otterknot.records.encodeRecord
 import io.otterknot.store.WriteLimits
-import io.otterknot.testing.StateBench
+import io.otterknot.testing.StoreFixture
 import io.otterknot.testing.jobChange
 import io.otterknot.testing.smallJob
-import io.otterknot.wire.Change
+import io.otterknot.wire.KeyChange
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.cancelChildren
 import kotlinx.coroutines.currentCoroutineContext
@@ -24,18 +24,18 @@
 import kotlin.random.Random
 
 /** Many jobs end at once, and their final states are written batch by batch. */
-class JobFinisherTest {
+class JobFinalizerTest {
     private val ids = (1..6).map { "j-%06d".format(it) }
 
     /** A drawn day of wisniewski-hunt: users were told that jobs were cancelled, and ever after that they were done. */
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `a job cancelled while earlier batches are written stays cancelled`() = runTest {
-        val bench = StateBench(this, changesPerS = 2.0)
+        val bench = StoreFixture(this, changesPerS = 2.0)
         val client = bench.client
         val jobs = bench.readJobs()
         val replica = bench.replica
-        val ownership = Ownership(
+        val ownership = PartitionLeadership(
             "n", listOf("a"), mapOf("n" to "a"), client, replica, 20_000, bench.now, Random(1),
             machines = { emptySet() }, onClaim = { _, _, _ -> }, onLoss = {}, mayClaim = { true },
         )
@@ -43,20 +43,24 @@
         launch { ownership.keepLease() }
         launch { ownership.claimPartitions() }
         while (ownership.token("a") == null) delay(50)
-        val completions = DoneRecord(ids.associateWith { "AQ" })
-        val done = Change(put = Keys.done("a", "1-0"), value = encodeRecord(DoneRecord.serializer(), completions))
-        val accepted = ids.map { jobChange(it, JobRecord(smallJob(it), listOf(Span("a", 0, 1)))) }
+        val completions = CompletionSegmentRecord(ids.associateWith { "AQ" })
+        val done =
+            KeyChange(
+                put = StoreKeys.done("a", "1-0"),
+                value = encodeRecord(CompletionSegmentRecord.serializer(), completions),
+            )
+        val accepted = ids.map { jobChange(it, JobRecord(smallJob(it), listOf(TaskSpan("a", 0, 1)))) }
         bench.state.store(*accepted.toTypedArray(), done)
         delay(500)
         val finisher =
-            JobFinisher(client, replica, jobs, ownership, bench.budget, WriteLimits(8_192, 1), bench.now)
+            JobFinalizer(client, replica, jobs, ownership, bench.budget, WriteLimits(8_192, 1), bench.now)
         val finishing = launch { finisher.finishAll() }
         // One change at a time, and two of them a second: the last one's turn comes later.
         delay(700)
-        bench.state.store(jobChange(ids.last(), JobRecord(final = Final.CANCELLED, tasks = 1)))
+        bench.state.store(jobChange(ids.last(), JobRecord(final = TerminalState.CANCELLED, tasks = 1)))
         finishing.join()
-        val finals = ids.map { decodeRecord(JobRecord.serializer(), bench.state.value(Keys.job(it))!!).final }
-        assertEquals(List(5) { Final.DONE } + Final.CANCELLED, finals)
+        val finals = ids.map { decodeRecord(JobRecord.serializer(), bench.state.value(StoreKeys.job(it))!!).final }
+        assertEquals(List(5) { TerminalState.DONE } + TerminalState.CANCELLED, finals)
         currentCoroutineContext().cancelChildren()
     }
 }
--- a/src/test/kotlin/io/otterknot/jobs/PipelineTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -1,24 +1,24 @@
 package io.otterknot.jobs
 
+import io.otterknot.partition.LeaseTimings
 import io.otterknot.partition.Partition
-import io.otterknot.partition.PartitionTimings
-import io.otterknot.partition.TeamShare
-import io.otterknot.records.Amount
-import io.otterknot.records.DoneRecord
-import io.otterknot.records.Final
+import io.otterknot.partition.TeamQuota
+import io.otterknot.records.CompletionSegmentRecord
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Keys
-import io.otterknot.records.Span
+import io.otterknot.records.QuotaAmount
+import io.otterknot.records.StoreKeys
+import io.otterknot.records.TaskSpan
+import io.otterknot.records.TerminalState
 import io.otterknot.records.decodeRecord
 import io.otterknot.records.encodeRecord
-import io.otterknot.scheduling.Aim
-import io.otterknot.scheduling.Aims
 import io.otterknot.scheduling.PartitionJob
-import io.otterknot.store.Entry
+import io.otterknot.scheduling.ServiceLevelObjective
+import io.otterknot.scheduling.ServiceLevelObjectives
+import io.otterknot.store.ReplicaEntry
 import io.otterknot.store.WriteLimits
 import io.otterknot.testing.take
-import io.otterknot.wire.Change
 import io.otterknot.wire.JobSpec
+import io.otterknot.wire.KeyChange
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.Priority
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -30,7 +30,7 @@
 import kotlin.random.Random
 
 /** What follows for jobs that await others, from the replica alone. */
-class PipelineTest {
+class DependencyGraphTest {
     private val table = JobTable()
     private var revision = 0L
 
@@ -56,10 +56,12 @@
         )
 
     /** The jobs of which the table says that something else holds now. */
-    private fun put(record: JobRecord, number: Int): List<String> =
-        table.changeJob(Keys.job(id(number)), Entry(encodeRecord(JobRecord.serializer(), record), ++revision)).map {
-            it.id
-        }
+    private fun put(record: JobRecord, number: Int): List<String> = table.changeJob(
+        StoreKeys.job(id(number)),
+        ReplicaEntry(encodeRecord(JobRecord.serializer(), record), ++revision),
+    ).map {
+        it.id
+    }
 
     private fun submit(
         number: Int,
@@ -69,14 +71,14 @@
     ) = put(
         JobRecord(
             spec(number, awaits.toList(), priority, dueS),
-            listOf(Span("a", 0, 2)),
+            listOf(TaskSpan("a", 0, 2)),
             submittedMs =
             1_000L * number,
         ),
         number,
     )
 
-    private fun end(number: Int, final: Final = Final.DONE) =
+    private fun end(number: Int, final: TerminalState = TerminalState.DONE) =
         put(JobRecord(final = final, endedMs = 100_000L + number), number)
 
     private fun ready(number: Int) = table[id(number)]!!.ready
@@ -98,7 +100,7 @@
         assertEquals(3_000L, submit(3, 1, 2).let { table[id(3)]!!.record!!.submittedMs })
         submit(5, 1, 2)
         assertTrue(ready(5), "all that it names was over already")
-        end(3, Final.DONE)
+        end(3, TerminalState.DONE)
         assertTrue(ready(4))
     }
 
@@ -107,16 +109,16 @@
         for (order in listOf(listOf(1, 2, 3, 4), listOf(4, 3, 2, 1), listOf(3, 1, 4, 2))) {
             val read = JobTable()
             fun take(number: Int, record: JobRecord) =
-                read.changeJob(Keys.job(id(number)), Entry(encodeRecord(JobRecord.serializer(), record), 1))
+                read.changeJob(StoreKeys.job(id(number)), ReplicaEntry(encodeRecord(JobRecord.serializer(), record), 1))
             val records = mapOf(
-                1 to JobRecord(final = Final.CANCELLED),
-                2 to JobRecord(final = Final.DONE, endedMs = 9),
+                1 to JobRecord(final = TerminalState.CANCELLED),
+                2 to JobRecord(final = TerminalState.DONE, endedMs = 9),
                 3 to JobRecord(spec(3, listOf(1, 2))),
                 4 to JobRecord(spec(4, listOf(3))),
             )
             order.forEach { take(it, records.getValue(it)) }
             assertEquals(
-                listOf(Final.CANCELLED, Final.DONE, Final.CANCELLED, Final.CANCELLED),
+                listOf(TerminalState.CANCELLED, TerminalState.DONE, TerminalState.CANCELLED, TerminalState.CANCELLED),
                 (1..4).map {
                     read[id(it)]!!.outcome
                 },
@@ -136,7 +138,10 @@
                     },
                     if (number == 4) 90.0 else null,
                 )
-                lending.changeJob(Keys.job(id(number)), Entry(encodeRecord(JobRecord.serializer(), JobRecord(spec)), 1))
+                lending.changeJob(
+                    StoreKeys.job(id(number)),
+                    ReplicaEntry(encodeRecord(JobRecord.serializer(), JobRecord(spec)), 1),
+                )
             }
             assertEquals(
                 List(3) { Priority.HIGH to 90_000L - 14_000 * (3 - it) },
@@ -157,14 +162,15 @@
         submit(3, 1, 2)
         submit(4, 3)
         submit(5, 2)
-        assertEquals(setOf(id(1), id(2), id(3), id(4)), (end(1, Final.CANCELLED) + id(2)).toSet())
-        assertEquals(listOf(null, Final.CANCELLED, Final.CANCELLED, null), (2..5).map(::outcome))
+        assertEquals(setOf(id(1), id(2), id(3), id(4)), (end(1, TerminalState.CANCELLED) + id(2)).toSet())
+        assertEquals(listOf(null, TerminalState.CANCELLED, TerminalState.CANCELLED, null), (2..5).map(::outcome))
         end(2)
         assertTrue(!ready(3) && !ready(4) && ready(5))
         submit(6, 4)
-        assertEquals(Final.CANCELLED, outcome(6), "submitted after the cancellation")
-        val completions = encodeRecord(DoneRecord.serializer(), DoneRecord(mapOf(id(4) to "Aw")))
-        table.changeDone(Keys.done("a", "1-0"), Entry(completions, ++revision))
+        assertEquals(TerminalState.CANCELLED, outcome(6), "submitted after the cancellation")
+        val completions =
+            encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(mapOf(id(4) to "Aw")))
+        table.changeDone(StoreKeys.done("a", "1-0"), ReplicaEntry(completions, ++revision))
         assertTrue(!table[id(4)]!!.complete, "it is never called done")
     }
 
@@ -177,8 +183,8 @@
             for (number in 1..count) submit(number, number - 1)
             submit(count + 1, count, priority = Priority.HIGH, dueS = 900.0)
             assertEquals(Priority.HIGH, table[id(0)]!!.dependencies.inheritedPriority)
-            assertEquals(count + 2, end(0, Final.CANCELLED).size)
-            assertEquals(Final.CANCELLED, outcome(count + 1))
+            assertEquals(count + 2, end(0, TerminalState.CANCELLED).size)
+            assertEquals(TerminalState.CANCELLED, outcome(count + 1))
             submit(500_000)
             for (number in 1..count) submit(500_000 + number, 500_000)
             assertEquals(count + 1, end(500_000).size)
@@ -195,16 +201,16 @@
         // Each step back takes the estimate of 10 s and 4 s besides.
         assertEquals(Priority.HIGH to 103_000L - 14_000, lent(2))
         assertEquals(Priority.HIGH to 103_000L - 28_000, lent(1))
-        assertTrue(id(1) in end(3, Final.CANCELLED))
+        assertTrue(id(1) in end(3, TerminalState.CANCELLED))
         assertEquals(Priority.BEST_EFFORT to null, lent(2).let { (it.first ?: Priority.BEST_EFFORT) to it.second })
         assertEquals(Priority.NORMAL to 304_000L - 14_000, lent(1))
-        end(4, Final.CANCELLED)
+        end(4, TerminalState.CANCELLED)
         assertEquals(Priority.BEST_EFFORT to null, lent(1))
     }
 
-    private fun partition(aims: Aims = Aims(emptyMap())) = Partition(
-        "a", 7, 0, 0, PartitionTimings(10_000), Random(1), aims, { it }, { MachineType("big", 8.0, 0.0, 64.0) },
-        listOf(TeamShare("red", 1.0, Amount(1e9, 0.0))), emptyMap(),
+    private fun partition(aims: ServiceLevelObjectives = ServiceLevelObjectives(emptyMap())) = Partition(
+        "a", 7, 0, 0, LeaseTimings(10_000), Random(1), aims, { it }, { MachineType("big", 8.0, 0.0, 64.0) },
+        listOf(TeamQuota("red", 1.0, QuotaAmount(1e9, 0.0))), emptyMap(),
     )
 
     @Test
@@ -221,7 +227,7 @@
         submit(3)
         submit(4, 3)
         update(listOf(id(3), id(4)))
-        update(end(3, Final.CANCELLED))
+        update(end(3, TerminalState.CANCELLED))
         assertEquals(listOf(id(2)), partition.jobs.map { it.id })
     }
 
@@ -229,10 +235,10 @@
     @Test
     fun `a job that becomes ready after a claim is in no doubt, one that was before is`() {
         val partition = Partition(
-            "a", 7, 0, 0, PartitionTimings(10_000), Random(1), Aims(emptyMap()), {
+            "a", 7, 0, 0, LeaseTimings(10_000), Random(1), ServiceLevelObjectives(emptyMap()), {
                 it
             }, { MachineType("big", 8.0, 0.0, 64.0) },
-            listOf(TeamShare("red", 1.0, Amount(1e9, 0.0))), mapOf("m1" to "big"),
+            listOf(TeamQuota("red", 1.0, QuotaAmount(1e9, 0.0))), mapOf("m1" to "big"),
         )
         submit(1)
         end(1)
@@ -255,7 +261,10 @@
 
     @Test
     fun `waits are measured from the end of what was awaited, due times from the submission`() {
-        val aims = Aims(mapOf("k" to listOf(Aim.Started(10.0, 0.9), Aim.Deadline(1.0))))
+        val aims =
+            ServiceLevelObjectives(
+                mapOf("k" to listOf(ServiceLevelObjective.Started(10.0, 0.9), ServiceLevelObjective.Deadline(1.0))),
+            )
         submit(1)
         submit(2, 1, dueS = 50.0)
         end(1)
@@ -267,7 +276,7 @@
 
     @Test
     fun `inherited urgency orders what waits`() {
-        val partition = partition(Aims(mapOf("k" to listOf(Aim.Deadline(1.0)))))
+        val partition = partition(ServiceLevelObjectives(mapOf("k" to listOf(ServiceLevelObjective.Deadline(1.0)))))
         submit(1)
         submit(2)
         submit(3, 2, priority = Priority.HIGH, dueS = 60.0)
@@ -275,14 +284,14 @@
         for (number in 1..4) partition.updateJob(table[id(number)]!!, inherited = false)
         assertEquals(listOf(id(2), id(1)), partition.waitingInOrder(10_000).map { it.id })
         assertEquals(Priority.HIGH, partition.job(id(2))!!.spec.priority)
-        end(3, Final.CANCELLED).forEach { partition.updateJob(table[it]!!, inherited = false) }
+        end(3, TerminalState.CANCELLED).forEach { partition.updateJob(table[it]!!, inherited = false) }
         assertEquals(Priority.BEST_EFFORT, partition.job(id(2))!!.spec.priority)
     }
 
     private fun list(count: Int) = List(count) { "j-%06d".format(it * 37) }
 
-    private fun accepted(awaits: List<String>, limits: WriteLimits): List<Change>? = JobTransitions.accept(
-        JobRecord(spec(1, emptyList()).copy(awaits = awaits), listOf(Span("a", 0, 2))),
+    private fun accepted(awaits: List<String>, limits: WriteLimits): List<KeyChange>? = JobTransitions.accept(
+        JobRecord(spec(1, emptyList()).copy(awaits = awaits), listOf(TaskSpan("a", 0, 2))),
         limits,
     )?.changes
 
@@ -296,9 +305,9 @@
         for (order in listOf(changes, changes.reversed(), changes.shuffled(Random(3)))) {
             val read = JobTable()
             order.forEachIndexed { index, change ->
-                val entry = Entry(change.value!!, 5)
+                val entry = ReplicaEntry(change.value!!, 5)
                 val said = if (change.key.startsWith(
-                        Keys.JOBS,
+                        StoreKeys.JOBS,
                     )
                 ) {
                     read.changeJob(change.key, entry)
@@ -311,7 +320,7 @@
             // Its end removes them, and does not depend on what they held.
             val ending = JobTransitions.cancel(read[id(1)]!!, 7, limits)!!.changes
             assertEquals(changes.map { it.key }.toSet(), ending.map { it.key }.toSet())
-            assertEquals(Final.CANCELLED, decodeRecord(JobRecord.serializer(), ending.first().value!!).final)
+            assertEquals(TerminalState.CANCELLED, decodeRecord(JobRecord.serializer(), ending.first().value!!).final)
         }
     }
 }
--- a/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
@@ -1,13 +1,13 @@
 package io.otterknot.jobs
 
-import io.otterknot.records.DoneRecord
-import io.otterknot.records.Final
+import io.otterknot.records.CompletionSegmentRecord
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Keys
-import io.otterknot.records.Span
+import io.otterknot.records.StoreKeys
+import io.otterknot.records.TaskSpan
+import io.otterknot.records.TerminalState
 import io.otterknot.records.decodeRecord
 import io.otterknot.records.encodeRecord
-import io.otterknot.store.Entry
+import io.otterknot.store.ReplicaEntry
 import io.otterknot.store.WriteLimits
 import io.otterknot.testing.smallJob
 import kotlinx.serialization.json.JsonElement
@@ -20,20 +20,20 @@
 /** What is said of a job follows from its own key and the segments of completions, in whatever order they are read. */
 class JobTableTest {
     private val id = "j-000001"
-    private val key = Keys.job(id)
+    private val key = StoreKeys.job(id)
     private val limits = WriteLimits(8_192, 40)
     private val spec = smallJob(id, tasks = 2)
 
     private fun record(record: JobRecord, version: Long): (JobTable) -> Unit =
-        { it.changeJob(key, Entry(encodeRecord(JobRecord.serializer(), record), version)) }
+        { it.changeJob(key, ReplicaEntry(encodeRecord(JobRecord.serializer(), record), version)) }
 
     /** A segment of an owner with [token], in which the tasks in [bits] are done. */
     private fun segment(token: Int, bits: String, version: Long): (JobTable) -> Unit = {
-        val value = encodeRecord(DoneRecord.serializer(), DoneRecord(mapOf(id to bits)))
-        it.changeDone(Keys.done("a", "$token-0"), Entry(value, version))
+        val value = encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(mapOf(id to bits)))
+        it.changeDone(StoreKeys.done("a", "$token-0"), ReplicaEntry(value, version))
     }
 
-    private val accepted = record(JobRecord(spec, listOf(Span("a", 0, 2))), 1)
+    private val accepted = record(JobRecord(spec, listOf(TaskSpan("a", 0, 2))), 1)
     private val firstTask = segment(4, "AQ", 2)
     private val secondTask = segment(9, "Ag", 3)
 
@@ -57,7 +57,10 @@
                 val finish = jobs[id]?.let { JobTransitions.finish(it, 5, limits) }
                 assertEquals(read == order.size - 1, finish != null)
             }
-            assertEquals(Final.DONE, end(JobTransitions.finish(jobs[id]!!, 5, limits)!!.changes.single().value!!))
+            assertEquals(
+                TerminalState.DONE,
+                end(JobTransitions.finish(jobs[id]!!, 5, limits)!!.changes.single().value!!),
+            )
         }
     }
 
@@ -66,7 +69,7 @@
     /** Neither completions that are read later nor anybody's wish leads away from a final state. */
     @Test
     fun `a job with a final state has no transition left`() {
-        for (final in Final.entries) {
+        for (final in TerminalState.entries) {
             val ended = record(JobRecord(final = final, tasks = 2), 7)
             for (order in permutations(listOf(firstTask, secondTask, ended))) {
                 val jobs = JobTable()
@@ -86,7 +89,7 @@
         val jobs = JobTable()
         accepted(jobs)
         val cancellation = JobTransitions.cancel(jobs[id]!!, 5, limits)!!
-        record(JobRecord(final = Final.DONE, tasks = 2), 6)(jobs)
+        record(JobRecord(final = TerminalState.DONE, tasks = 2), 6)(jobs)
         assertTrue(cancellation.guards.single().let { it.key == key && it.version == 1L })
     }
 }
--- a/src/test/kotlin/io/otterknot/leadership/OwnershipTest.kt
+++ b/src/test/kotlin/io/otterknot/leadership/PartitionLeadershipTest.kt
@@ -1,18 +1,18 @@
 package io.otterknot.leadership
 
-import io.otterknot.config.BadSettings
+import io.otterknot.config.InvalidSettingsException
 import io.otterknot.config.SettingsFile
 import io.otterknot.jobs.JobTable
-import io.otterknot.metrics.Figures
-import io.otterknot.ratelimit.RateBudget
-import io.otterknot.records.DoneRecord
-import io.otterknot.records.Final
+import io.otterknot.metrics.Metrics
+import io.otterknot.ratelimit.RateLimiter
+import io.otterknot.records.CompletionSegmentRecord
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Keys
-import io.otterknot.records.Segments
-import io.otterknot.records.TaskBits
+import io.otterknot.records.RecordSegments
+import io.otterknot.records.StoreKeys
+import io.otterknot.records.TaskBitmaps
+import io.otterknot.records.TerminalState
 import io.otterknot.records.encodeRecord
-import io.otterknot.store.Entry
+import io.otterknot.store.ReplicaEntry
 import io.otterknot.testing.take
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.provider.ValueSource
 import java.util.BitSet
 
-class OwnershipTest {
+class PartitionLeadershipTest {
     /** The fence ends before the lease can, whatever the clocks' drift, counted from the sending of the renewal. */
     @Test
     fun `the fence ends before the lease`() {
@@ -71,7 +71,7 @@
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `the budget spreads requests over time and refuses instead of waiting long`() = runTest {
-        val budget = RateBudget(10.0, 5.0, { testScheduler.currentTime })
+        val budget = RateLimiter(10.0, 5.0, { testScheduler.currentTime })
         repeat(40) { budget.take() }
         assertTrue(currentTime in 3_000..3_500, "$currentTime")
         repeat(4) { budget.take(1) }
@@ -83,7 +83,7 @@
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `reads do not wait for changes, and users not for background tasks`() = runTest {
-        val budget = RateBudget(50.0, 5.0, { testScheduler.currentTime })
+        val budget = RateLimiter(50.0, 5.0, { testScheduler.currentTime })
         repeat(4) { launch { budget.takeSpare(4) } }
         repeat(4) { launch { budget.takeSpare(1, lesser = true) } }
         // Submissions in a burst go into debt for a while.
@@ -103,7 +103,7 @@
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `background tasks leave some changes to users`() = runTest {
-        val budget = RateBudget(1_000.0, 10.0, { testScheduler.currentTime })
+        val budget = RateLimiter(1_000.0, 10.0, { testScheduler.currentTime })
         repeat(3) { launch { while (currentTime < 20_000) budget.takeSpare(2) } }
         repeat(10) {
             delay(1_500)
@@ -115,7 +115,7 @@
     @Test
     fun `a share that grows brings more and one that shrinks less, never a burst beyond it`() = runTest {
         var share = 0.2
-        val budget = RateBudget(1_000.0, 100.0, { testScheduler.currentTime }, { RateBudget.Share(share, share) })
+        val budget = RateLimiter(1_000.0, 100.0, { testScheduler.currentTime }, { RateLimiter.Share(share, share) })
         suspend fun changesIn(ms: Long): Int {
             val until = currentTime + ms
             var count = 0
@@ -135,7 +135,7 @@
 
     @Test
     fun `machines that come back from an owner that does not answer are counted, others are not`() {
-        val misdirected = MisdirectedWorkers()
+        val misdirected = RedirectedWorkers()
         listOf("m1", "m2", "m3").forEach { misdirected.sent("a", it, 1_000, false) }
         misdirected.sent("a", "m1", 1_300, false)
         assertEquals(0, misdirected.count("a", 1_400), "it may have crossed the first answer")
@@ -159,7 +159,7 @@
     @ParameterizedTest
     @ValueSource(ints = [100, 6_000])
     fun `machines that were sent to their owner are remembered for some seconds`(machines: Int) {
-        val misdirected = MisdirectedWorkers()
+        val misdirected = RedirectedWorkers()
         repeat(machines) { misdirected.sent("a", "m$it", 1_000, true) }
         assertEquals(machines, misdirected.left("a", 4_000))
         misdirected.sent("a", "later", 20_000, true)
@@ -177,7 +177,7 @@
 
     @Test
     fun `figures are counted and told`() {
-        val figures = Figures { 0 }
+        val figures = Metrics { 0 }
         figures.count("changes", 3)
         figures.count("changes")
         for (ms in 1L..100L) figures.took("barrier", ms)
@@ -189,11 +189,11 @@
     fun `sets of tasks are kept in chunks`() {
         val bits = BitSet().also {
             it.set(3)
-            it.set(TaskBits.CHUNK - 1)
-            it.set(TaskBits.CHUNK + 5)
+            it.set(TaskBitmaps.CHUNK - 1)
+            it.set(TaskBitmaps.CHUNK + 5)
         }
         val read = BitSet()
-        for (chunk in 0..1) TaskBits.decodeInto(TaskBits.encode(bits, chunk), chunk, read)
+        for (chunk in 0..1) TaskBitmaps.decodeInto(TaskBitmaps.encode(bits, chunk), chunk, read)
         assertEquals(bits, read)
     }
 
@@ -283,16 +283,16 @@
     @Test
     fun `many records share few keys, and only keys that change are written`() {
         val kept = mapOf(0 to mapOf("m1" to "g", "m2" to "g"), 1 to mapOf("m3" to "g"))
-        assertEquals(emptyMap<Int, Any>(), Segments.spread(kept, emptySet(), mapOf("m2" to "g"), 2))
+        assertEquals(emptyMap<Int, Any>(), RecordSegments.spread(kept, emptySet(), mapOf("m2" to "g"), 2))
         assertEquals(
             mapOf(1 to mapOf("m3" to "g", "m4" to "h")),
-            Segments.spread(kept, emptySet(), mapOf("m4" to "h"), 2),
+            RecordSegments.spread(kept, emptySet(), mapOf("m4" to "h"), 2),
         )
-        val full = Segments.spread(kept, setOf("m3"), mapOf("m4" to "h", "m5" to "h", "m6" to "h"), 2)
+        val full = RecordSegments.spread(kept, setOf("m3"), mapOf("m4" to "h", "m5" to "h", "m6" to "h"), 2)
         assertEquals(mapOf(1 to setOf("m4", "m5"), 2 to setOf("m6")), full.mapValues { it.value.keys })
         assertEquals(
             mapOf(1 to emptyMap<String, String>()),
-            Segments.spread(kept, setOf("m3"), emptyMap(), 2),
+            RecordSegments.spread(kept, setOf("m3"), emptyMap(), 2),
             "an empty one is to be removed",
         )
     }
@@ -301,13 +301,13 @@
     @Test
     fun `a segment above the limit is split when it is next written, and what moves is elsewhere first`() {
         val large = mapOf(0 to (1..7).associate { "m$it" to "g" }, 1 to mapOf("m8" to "g"))
-        assertEquals(listOf(1), Segments.spread(large, emptySet(), mapOf("m9" to "g"), 3).keys.toList())
-        val split = Segments.spread(large, setOf("m2"), emptyMap(), 3)
+        assertEquals(listOf(1), RecordSegments.spread(large, emptySet(), mapOf("m9" to "g"), 3).keys.toList())
+        val split = RecordSegments.spread(large, setOf("m2"), emptyMap(), 3)
         assertEquals(listOf(1, 2, 0), split.keys.toList())
         assertEquals(setOf("m1", "m3", "m4"), split.getValue(0).keys)
         assertEquals((1..8).filter { it != 2 }.map { "m$it" }.toSet(), split.values.flatMap { it.keys }.toSet())
         // Only the first of them was written: the next round drops from the large one what is there already.
-        val half = Segments.spread(large + mapOf(1 to split.getValue(1)), setOf("m2"), emptyMap(), 3)
+        val half = RecordSegments.spread(large + mapOf(1 to split.getValue(1)), setOf("m2"), emptyMap(), 3)
         assertEquals(split.getValue(0), half.getValue(0))
         assertEquals(
             large.values.flatMap {
@@ -319,7 +319,7 @@
 
     /** How long so many changes of background tasks take, in whole seconds of virtual time. */
     @OptIn(ExperimentalCoroutinesApi::class)
-    private suspend fun TestScope.secondsFor(budget: RateBudget, changes: Int): Long {
+    private suspend fun TestScope.secondsFor(budget: RateLimiter, changes: Int): Long {
         val before = currentTime
         repeat(changes) { budget.takeSpare(1) }
         return (currentTime - before) / 1000
@@ -329,7 +329,7 @@
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `refusals that the known limits do not explain make a node slow down for a while`() = runTest {
-        val budget = RateBudget(100.0, 10.0, { testScheduler.currentTime }, later = RateBudget.Limits(100.0, 10.0))
+        val budget = RateLimiter(100.0, 10.0, { testScheduler.currentTime }, later = RateLimiter.Limits(100.0, 10.0))
         suspend fun secondsFor(changes: Int) = secondsFor(budget, changes)
         secondsFor(10)
         repeat(2) { budget.refused() }
@@ -352,7 +352,7 @@
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `lower limits that were told of hold once requests are refused for their rate`() = runTest {
-        val budget = RateBudget(100.0, 10.0, { testScheduler.currentTime }, later = RateBudget.Limits(100.0, 5.0))
+        val budget = RateLimiter(100.0, 10.0, { testScheduler.currentTime }, later = RateLimiter.Limits(100.0, 5.0))
         suspend fun secondsFor(changes: Int) = secondsFor(budget, changes)
         secondsFor(10)
         assertEquals(3, secondsFor(30))
@@ -371,9 +371,9 @@
         val table = JobTable()
         val spec =
             JobSpec("j-1", "k", "t", Priority.HIGH, 4, 1.0, memoryGb = 1.0, image = "i", imageGb = 1.0, estimateS = 1.0)
-        fun job(id: String, final: Final?) = table.changeJob(
-            Keys.job(id),
-            Entry(
+        fun job(id: String, final: TerminalState?) = table.changeJob(
+            StoreKeys.job(id),
+            ReplicaEntry(
                 encodeRecord(
                     JobRecord.serializer(),
                     JobRecord(
@@ -388,8 +388,8 @@
             ),
         )
         fun segment(bits: Map<String, String>) = table.changeDone(
-            Keys.done("a", "7-0"),
-            Entry(encodeRecord(DoneRecord.serializer(), DoneRecord(bits)), 2),
+            StoreKeys.done("a", "7-0"),
+            ReplicaEntry(encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(bits)), 2),
         ).map {
             it.id
         }
@@ -398,7 +398,7 @@
         assertEquals(listOf("j-1"), segment(mapOf("j-1" to "Aw")))
         assertEquals(listOf("j-2"), segment(mapOf("j-1" to "Aw", "j-2" to "DA")))
         assertEquals(listOf(2, 2), listOf(table["j-1"]!!.done.cardinality(), table["j-2"]!!.done.cardinality()))
-        job("j-1", Final.CANCELLED)
+        job("j-1", TerminalState.CANCELLED)
         assertTrue(!table.matters("j-1") && table.matters("j-2") && table.matters("j-3.1"))
         assertEquals(listOf("j-2"), segment(mapOf("j-1" to "Dw", "j-2" to "Dw")))
         assertTrue(table["j-2"]!!.complete)
@@ -424,7 +424,7 @@
     fun `a bad setting stops the start with one line`(from: String, to: String?) {
         val bad = good.replace(from, to.orEmpty().replace("\\n", "\n"))
         assertTrue(bad != good)
-        val refused = assertThrows(BadSettings::class.java) { SettingsFile.parse(bad) }
+        val refused = assertThrows(InvalidSettingsException::class.java) { SettingsFile.parse(bad) }
         assertEquals(1, refused.message!!.lines().size)
     }
 }
--- a/src/test/kotlin/io/otterknot/load/LoopbackLoad.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackLoad.kt
@@ -1,6 +1,6 @@
 package io.otterknot.load
 
-import io.otterknot.config.TeamFacts
+import io.otterknot.config.TeamSettings
 import io.otterknot.http.HttpClient
 import io.otterknot.net.EventLoop
 import io.otterknot.testing.smallJob
@@ -47,7 +47,7 @@
 
     private class CostRun(private val scope: CoroutineScope, private val loop: EventLoop, private val machines: Int) :
         TaskObserver {
-        private val site = LoopbackSite(scope, loop, PORT_BASE, listOf("a"), machines, listOf(TeamFacts("red")))
+        private val site = LoopbackSite(scope, loop, PORT_BASE, listOf("a"), machines, listOf(TeamSettings("red")))
         private val specs = HashMap<String, JobSpec>()
         private val random = Random(1)
         private var answered = 0
--- a/src/test/kotlin/io/otterknot/load/LoopbackSite.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackSite.kt
@@ -1,13 +1,13 @@
 package io.otterknot.load
 
 import io.otterknot.config.HostPort
-import io.otterknot.config.TeamFacts
+import io.otterknot.config.TeamSettings
 import io.otterknot.http.HttpResponse
 import io.otterknot.http.HttpServer
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
 import io.otterknot.net.EventLoop
-import io.otterknot.testing.StateStandIn
+import io.otterknot.testing.FakeKeyValueStore
 import io.otterknot.testing.take
 import io.otterknot.wire.ListedMachine
 import io.otterknot.wire.MAX_BODY_BYTES
@@ -30,12 +30,12 @@
     /** One controller in each zone. */
     val zones: List<String>,
     private val machinesPerZone: Int,
-    private val teams: List<TeamFacts>,
+    private val teams: List<TeamSettings>,
     private val changesPerS: Double = 50.0,
 ) {
     private val startedNs = System.nanoTime()
     val nowMs = { (System.nanoTime() - startedNs) / 1_000_000 }
-    private val state = StateStandIn(scope, Random(1), nowMs)
+    private val state = FakeKeyValueStore(scope, Random(1), nowMs)
     val labels = zones.indices.map { "holt-$it" }
 
     /** The names of all machines, with their zones. */
@@ -159,7 +159,7 @@
 endpoint = "${peerAddress(label)}"
 """
 
-    private fun team(team: TeamFacts) = """
+    private fun team(team: TeamSettings) = """
 [[facts.teams]]
 name = "${team.name}"
 cpus = ${team.cpus}
--- a/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
@@ -5,11 +5,11 @@
 import io.otterknot.net.EventLoop
 import io.otterknot.testing.take
 import io.otterknot.wire.Command
-import io.otterknot.wire.Commands
+import io.otterknot.wire.Heartbeat
+import io.otterknot.wire.HeartbeatResponse
 import io.otterknot.wire.JobSpec
-import io.otterknot.wire.Redirect
-import io.otterknot.wire.Report
-import io.otterknot.wire.TaskReport
+import io.otterknot.wire.LeaderRedirect
+import io.otterknot.wire.TaskStatus
 import io.otterknot.wire.WireJson
 import kotlinx.coroutines.delay
 import java.util.TreeMap
@@ -79,10 +79,10 @@
     }
 
     private suspend fun report() {
-        val shown = tasks.map { (name, task) -> TaskReport(name, task.attempt, task.state, task.cause) }
+        val shown = tasks.map { (name, task) -> TaskStatus(name, task.attempt, task.state, task.cause) }
         val type = LoopbackSite.TYPE.name
-        val report = Report(id, "127.0.0.1:9", type, zone, false, session, ++seq, token, null, shown)
-        val body = WireJson.encodeToString(Report.serializer(), report).encodeToByteArray()
+        val report = Heartbeat(id, "127.0.0.1:9", type, zone, false, session, ++seq, token, null, shown)
+        val body = WireJson.encodeToString(Heartbeat.serializer(), report).encodeToByteArray()
         val sent = site.nowMs()
         val reply = clients.getValue(node).call("POST", "/v1/report", body, ANSWER_MS)
         val answered = reply is Reply.Answer && reply.status == 200 && site.nowMs() >= frozenUntilMs
@@ -91,7 +91,7 @@
     }
 
     private fun take(reply: Reply.Answer, sent: Long) {
-        val commands = WireJson.decodeFromString(Commands.serializer(), reply.text)
+        val commands = WireJson.decodeFromString(HeartbeatResponse.serializer(), reply.text)
         if (commands.token < token) return
         token = commands.token
         answeredMs = sent
@@ -100,7 +100,7 @@
 
     private suspend fun goOn(reply: Reply) {
         val redirected = (reply as? Reply.Answer)?.takeIf { it.status == 421 }
-            ?.let { WireJson.decodeFromString(Redirect.serializer(), it.text).reportTo }
+            ?.let { WireJson.decodeFromString(LeaderRedirect.serializer(), it.text).reportTo }
         if (redirected != null && redirected != node && redirected in clients) {
             node = redirected
             return
--- a/src/test/kotlin/io/otterknot/load/SurgeLoad.kt
+++ b/src/test/kotlin/io/otterknot/load/SurgeLoad.kt
@@ -1,6 +1,6 @@
 package io.otterknot.load
 
-import io.otterknot.config.TeamFacts
+import io.otterknot.config.TeamSettings
 import io.otterknot.http.HttpClient
 import io.otterknot.http.Reply
 import io.otterknot.net.EventLoop
@@ -82,7 +82,7 @@
             portBase,
             listOf("a", "b", "c"),
             MACHINES_PER_ZONE,
-            USERS.map { TeamFacts(it.team, cpus = GUARANTEED_CORES) },
+            USERS.map { TeamSettings(it.team, cpus = GUARANTEED_CORES) },
             changesPerS,
         )
         private val specs = HashMap<String, JobSpec>()
--- a/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
@@ -1,18 +1,18 @@
 package io.otterknot.partition
 
 import io.otterknot.jobs.Job
-import io.otterknot.records.Amount
-import io.otterknot.records.Final
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Span
-import io.otterknot.scheduling.Aims
+import io.otterknot.records.QuotaAmount
+import io.otterknot.records.TaskSpan
+import io.otterknot.records.TerminalState
+import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.testing.take
 import io.otterknot.wire.Command
+import io.otterknot.wire.Heartbeat
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.Priority
-import io.otterknot.wire.Report
-import io.otterknot.wire.TaskReport
+import io.otterknot.wire.TaskStatus
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -31,10 +31,10 @@
 
     private fun partition(registered: List<String> = emptyList(), limit: Double = 1e9, othersUntil: Long = 0) =
         Partition(
-            "a", 7, 0, othersUntil, PartitionTimings(10_000), Random(1), Aims(emptyMap()), {
+            "a", 7, 0, othersUntil, LeaseTimings(10_000), Random(1), ServiceLevelObjectives(emptyMap()), {
                 it
             }, { type.also { typesAsked++ } },
-            listOf(TeamShare("red", 1.0, Amount(limit, 0.0)), TeamShare("blue", 1.0, Amount(1e9, 0.0))),
+            listOf(TeamQuota("red", 1.0, QuotaAmount(limit, 0.0)), TeamQuota("blue", 1.0, QuotaAmount(1e9, 0.0))),
             registered.associateWith {
                 "big"
             },
@@ -50,7 +50,7 @@
         it.take(
             JobRecord(
                 JobSpec(it.id, "k", team, priority, tasks, cores, 0.0, 1.0, "i", 1.0, spot = true, estimateS = 5.0),
-                listOf(Span("a", 0, tasks)),
+                listOf(TaskSpan("a", 0, tasks)),
             ),
         )
     }
@@ -59,12 +59,12 @@
         machine: String,
         token: Long,
         now: Long,
-        vararg tasks: TaskReport,
+        vararg tasks: TaskStatus,
         session: Long = 1,
         seq: Long? = null,
         noticeS: Double? = null,
-    ): ReportDecision = report(
-        Report(
+    ): HeartbeatDecision = report(
+        Heartbeat(
             machine, "", "big", "a", false, session,
             seq ?: seqs.merge(
                 machine,
@@ -76,12 +76,12 @@
         now,
     )
 
-    private fun ReportDecision.commands(): List<Command> = (this as ReportDecision.Answer).commands
+    private fun HeartbeatDecision.commands(): List<Command> = (this as HeartbeatDecision.Answer).commands
 
-    private fun ReportDecision.starts() = commands().filter { it.op == "start" }
+    private fun HeartbeatDecision.starts() = commands().filter { it.op == "start" }
 
     private fun Command.shown(state: String = "running", cause: String? = null) =
-        TaskReport(task, attempt, state, cause)
+        TaskStatus(task, attempt, state, cause)
 
     /** A machine that is known, registered and idle. */
     private fun Partition.ready(vararg machines: String) {
@@ -94,16 +94,16 @@
         val partition = partition(listOf("m1", "m2"))
         partition.updateJob(job(1, 4), inherited = true)
         assertEquals(
-            ReportDecision.Answer(7, emptyList()),
-            partition.hear("m1", 3, 100, TaskReport("j-000001/0", 9, "running")),
+            HeartbeatDecision.Answer(7, emptyList()),
+            partition.hear("m1", 3, 100, TaskStatus("j-000001/0", 9, "running")),
         )
-        assertTrue(partition.hear("m1", 7, 200, TaskReport("j-000001/0", 9, "running")).commands().isEmpty())
+        assertTrue(partition.hear("m1", 7, 200, TaskStatus("j-000001/0", 9, "running")).commands().isEmpty())
         assertTrue(!partition.settled, "m2 may hold the other tasks")
         assertTrue(partition.hear("m2", 3, 300).commands().isEmpty())
         assertTrue(!partition.settled, "m2 has not seen the token")
         val started =
             partition.hear("m2", 7, 400).starts() +
-                partition.hear("m1", 7, 500, TaskReport("j-000001/0", 9, "running")).starts()
+                partition.hear("m1", 7, 500, TaskStatus("j-000001/0", 9, "running")).starts()
         assertEquals(setOf("j-000001/1", "j-000001/2", "j-000001/3"), started.map { it.task }.toSet())
     }
 
@@ -126,7 +126,7 @@
         val partition = partition(listOf("m1", "m2"))
         partition.updateJob(job(1, 1), inherited = true)
         partition.hear("m1", 7, 100)
-        partition.hear("m2", 3, 9_000, TaskReport("j-000001/0", 9, "running"))
+        partition.hear("m2", 3, 9_000, TaskStatus("j-000001/0", 9, "running"))
         for (now in listOf(10_900L, 15_000L, 19_000L)) {
             partition.sweep(now)
             assertTrue(partition.hear("m1", 7, now).starts().isEmpty(), "at $now")
@@ -138,14 +138,14 @@
     @Test
     fun `a higher token means another owner, an older report means nothing`() {
         val partition = partition()
-        assertEquals(ReportDecision.Superseded, partition.hear("m1", 8, 1))
+        assertEquals(HeartbeatDecision.Superseded, partition.hear("m1", 8, 1))
         partition.hear("m1", 7, 2, session = 2, seq = 5)
         for ((session, seq) in listOf(
             1L to 9L,
             2L to 4L,
             2L to 5L,
         )) {
-            assertEquals(ReportDecision.Stale, partition.hear("m1", 7, 3, session = session, seq = seq))
+            assertEquals(HeartbeatDecision.Stale, partition.hear("m1", 7, 3, session = session, seq = seq))
         }
     }
 
@@ -210,7 +210,7 @@
         partition.updateJob(job, inherited = false)
         val starts = partition.hear("m1", 7, 10).starts()
         assertEquals(4, starts.size)
-        job.take(JobRecord(final = Final.CANCELLED), 2)
+        job.take(JobRecord(final = TerminalState.CANCELLED), 2)
         partition.updateJob(job, inherited = false)
         val commands = partition.hear("m1", 7, 20, *starts.map { it.shown() }.toTypedArray()).commands()
         assertEquals(List(4) { "halt" }, commands.map { it.op })
@@ -241,7 +241,7 @@
     fun `what a machine shows of a job that is over counts against every limit until it is gone`() {
         val partition = partition(listOf("m1", "m2"), limit = 10.0)
         partition.updateJob(job(1, 4), inherited = true)
-        val running = TaskReport("j-000009/0", 9, "running")
+        val running = TaskStatus("j-000009/0", 9, "running")
         partition.hear("m2", 7, 10)
         for (now in listOf(20L, 30L)) {
             assertEquals(listOf("halt"), partition.hear("m1", 7, now, running).commands().map { it.op })
@@ -270,7 +270,7 @@
                 }.toTypedArray(),
             )
         }
-        job.take(JobRecord(final = Final.CANCELLED), 2)
+        job.take(JobRecord(final = TerminalState.CANCELLED), 2)
         partition.updateJob(job, inherited = false)
         partition.sweep(9_000)
         assertEquals(emptyList<String>(), partition.hung(9_000, 20_000))
@@ -338,7 +338,7 @@
         partition.ready("m1")
         assertEquals(listOf("j-000001/0", "j-000001/1"), partition.hear("m1", 7, 10).starts().map { it.task })
         // A report from before, held back until now, shows one of them on a machine whose lease has ended since.
-        partition.hear("m3", 7, 20, TaskReport("j-000001/5", 9, "running"))
+        partition.hear("m3", 7, 20, TaskStatus("j-000001/5", 9, "running"))
         partition.hear("m3", 7, 30, session = 2, seq = 1)
         assertTrue(!held.pending.get(5) && !held.active.containsKey(5))
         partition.settleHandover(held, aside)
@@ -424,7 +424,7 @@
         partition.updateJob(job(1, 1), inherited = true)
         var startedAt = 0L
         for (now in 100L..40_000L step 800) {
-            partition.hear("deaf", 3, now, TaskReport("j-000001/0", 9, "running"))
+            partition.hear("deaf", 3, now, TaskStatus("j-000001/0", 9, "running"))
             partition.sweep(now)
             if (partition.hear("m1", 7, now + 1).starts().isNotEmpty()) {
                 startedAt = now
@@ -454,7 +454,7 @@
         val alone = partition()
         alone.ready("deaf", "m1", "m2", "m3")
         alone.updateJob(job(2, 60, cores = 1.0), inherited = false)
-        val shown = HashMap<String, List<TaskReport>>()
+        val shown = HashMap<String, List<TaskStatus>>()
         for (now in 10L..30_000L step 800) {
             alone.hear("deaf", 7, now)
             for (id in listOf("m1", "m2", "m3")) {
@@ -463,7 +463,7 @@
                     alone.hear(id, 7, now, *shown[id].orEmpty().toTypedArray()).starts().map {
                         it.shown()
                     },
-                    List<TaskReport>::plus,
+                    List<TaskStatus>::plus,
                 )
             }
             alone.sweep(now)
@@ -486,11 +486,11 @@
         val seen = seqs.getValue(start.first)
         for (leave in listOf<(String) -> Unit>(partition::dismiss, partition::released)) {
             leave(start.first)
-            assertEquals(ReportDecision.Stale, partition.hear(start.first, 7, 30, start.second.shown(), seq = seen))
+            assertEquals(HeartbeatDecision.Stale, partition.hear(start.first, 7, 30, start.second.shown(), seq = seen))
             assertEquals(null, partition.machine(start.first))
         }
         assertEquals(
-            ReportDecision.Stale,
+            HeartbeatDecision.Stale,
             partition.hear(start.first, 7, 30, seq = seen + 50),
             "a machine that the cloud took back is gone for good",
         )
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
@@ -2,25 +2,25 @@
 
 import io.otterknot.config.LoadSpreadMode
 import io.otterknot.config.LoadSpreadSettings
-import io.otterknot.config.TeamFacts
+import io.otterknot.config.TeamSettings
 import io.otterknot.jobs.Job
+import io.otterknot.partition.HeartbeatDecision
+import io.otterknot.partition.LeaseTimings
 import io.otterknot.partition.Partition
-import io.otterknot.partition.PartitionTimings
-import io.otterknot.partition.ReportDecision
-import io.otterknot.partition.TeamShare
-import io.otterknot.records.Amount
-import io.otterknot.records.Final
+import io.otterknot.partition.TeamQuota
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Span
-import io.otterknot.scheduling.Aims
+import io.otterknot.records.QuotaAmount
+import io.otterknot.records.TaskSpan
+import io.otterknot.records.TerminalState
 import io.otterknot.scheduling.PartitionView
+import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.testing.smallJob
 import io.otterknot.testing.take
 import io.otterknot.wire.Command
+import io.otterknot.wire.Heartbeat
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.Priority
-import io.otterknot.wire.Report
-import io.otterknot.wire.TaskReport
+import io.otterknot.wire.TaskStatus
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -32,13 +32,13 @@
 /** Moves of running tasks, step by step on one owner's ledger. */
 class LoadSpreadMoveTest {
     private val type = MachineType("big", 8.0, 0.0, 64.0, fetchGbPerS = 1.0)
-    private val teams = listOf(TeamFacts("red", cpus = 8.0), TeamFacts("blue", cpus = 8.0))
+    private val teams = listOf(TeamSettings("red", cpus = 8.0), TeamSettings("blue", cpus = 8.0))
     private val seqs = HashMap<String, Long>()
     private val partition = newPartition()
 
     private fun newPartition() = Partition(
-        "a", 7, 0, 0, PartitionTimings(10_000), Random(1), Aims(emptyMap()), { it }, { type },
-        teams.map { TeamShare(it.name, it.cpus, Amount(1e9, 0.0)) }, emptyMap(),
+        "a", 7, 0, 0, LeaseTimings(10_000), Random(1), ServiceLevelObjectives(emptyMap()), { it }, { type },
+        teams.map { TeamQuota(it.name, it.cpus, QuotaAmount(1e9, 0.0)) }, emptyMap(),
     )
 
     private fun job(id: Int, tasks: Int, team: String, priority: Priority = Priority.HIGH, checkpointS: Double = 0.0) =
@@ -47,22 +47,22 @@
                 team = team, priority = priority, cores = 4.0, memoryGb = 1.0, image = "i", imageGb = 1.0, spot = true,
                 estimateS = 30.0, checkpointS = checkpointS, saveS = if (checkpointS > 0) 4.0 else 0.0,
             )
-            it.take(JobRecord(spec, listOf(Span("a", 0, tasks))))
+            it.take(JobRecord(spec, listOf(TaskSpan("a", 0, tasks))))
         }
 
     private fun Partition.hear(
         machine: String,
         now: Long,
-        vararg tasks: TaskReport,
+        vararg tasks: TaskStatus,
         noticeS: Double? = null,
     ): List<Command> {
         val seq = seqs.merge(machine, 1, Long::plus)!!
-        val report = Report(machine, "", "big", "a", false, 1, seq, token, noticeS, tasks.toList())
-        return (report(report, now) as ReportDecision.Answer).commands
+        val report = Heartbeat(machine, "", "big", "a", false, 1, seq, token, noticeS, tasks.toList())
+        return (report(report, now) as HeartbeatDecision.Answer).commands
     }
 
     private fun Command.shown(state: String = "running", cause: String? = null) =
-        TaskReport(task, attempt, state, cause)
+        TaskStatus(task, attempt, state, cause)
 
     /** Two machines full of red tasks that run. */
     private fun fill(checkpointS: Double = 0.0): Map<String, List<Command>> {
@@ -157,7 +157,12 @@
     fun `a cancellation wins over the stop`() {
         val (first, second) = fill().getValue("m1")
         val move = move(first)
-        partition.updateJob(job(1, 4, "red").also { it.take(JobRecord(final = Final.CANCELLED)) }, inherited = false)
+        partition.updateJob(
+            job(1, 4, "red").also {
+                it.take(JobRecord(final = TerminalState.CANCELLED))
+            },
+            inherited = false,
+        )
         move.advance(2_500, ownsPartition = true)
         assertEquals(MoveOutcome.JOB_OVER, move.outcome)
         val commands = partition.hear("m1", 3_000, first.shown(), second.shown())
@@ -214,8 +219,8 @@
         move.advance(4_000, ownsPartition = true)
         assertEquals(MoveState.STOPPED, move.state)
         assertTrue(after.none { it.op == "start" }, "a machine under a notice takes nothing")
-        val late = Report("m1", "", "big", "a", false, 1, 2, 7, null, listOf(first.shown()))
-        assertEquals(ReportDecision.Stale, partition.report(late, 4_500))
+        val late = Heartbeat("m1", "", "big", "a", false, 1, 2, 7, null, listOf(first.shown()))
+        assertEquals(HeartbeatDecision.Stale, partition.report(late, 4_500))
         assertTrue(!partition.machine("m1")!!.attempts.containsKey(first.attempt))
     }
 
@@ -243,7 +248,7 @@
         partition.updateJob(job(2, 10, "blue"), inherited = false)
         partition.markCovered(1, beforeAll = true) { it.id == "j-000002" }
         val settings = LoadSpreadSettings(LoadSpreadMode.ACT, patienceS = 0.0)
-        val board = PressureBoard(teams, mapOf("a" to partition), mapOf("a" to PartitionView("a")))
+        val board = PressureTracker(teams, mapOf("a" to partition), mapOf("a" to PartitionView("a")))
         val builder = SnapshotBuilder(settings, { listOf("a") }, Random(1))
         val cluster = board.look()
         val recounts = partition.waitingWork.recounts
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
@@ -1,8 +1,8 @@
 package io.otterknot.rebalance
 
 import io.otterknot.config.LoadSpreadSettings
-import io.otterknot.config.TeamFacts
-import io.otterknot.records.Amount
+import io.otterknot.config.TeamSettings
+import io.otterknot.records.QuotaAmount
 import io.otterknot.scheduling.Resources
 import io.otterknot.testing.smallJob
 import io.otterknot.wire.JobSpec
@@ -47,7 +47,7 @@
 
     @Test
     fun `a job is within the guarantee if it fits together with all earlier ones of its team`() {
-        val cover = GuaranteeCover(listOf(TeamFacts("red", cpus = 10.0), TeamFacts("blue")))
+        val cover = QuotaCoverage(listOf(TeamSettings("red", cpus = 10.0), TeamSettings("blue")))
         fun job(
             id: String,
             team: String,
@@ -55,7 +55,7 @@
             cores: Double,
             cards: Double = 0.0,
             priority: Priority = Priority.NORMAL,
-        ) = UnfinishedJob(id, team, priority, at, Amount(cores, cards))
+        ) = UnfinishedJob(id, team, priority, at, QuotaAmount(cores, cards))
         val jobs = listOf(
             job("late", "red", 30, 1.0),
             job("first", "red", 10, 6.0),
--- a/src/test/kotlin/io/otterknot/records/FormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
@@ -5,9 +5,9 @@
 import io.otterknot.jobs.JobTransitions
 import io.otterknot.peer.PeerCodec
 import io.otterknot.peer.PeerMessage
-import io.otterknot.store.Entry
+import io.otterknot.store.ReplicaEntry
 import io.otterknot.store.WriteLimits
-import io.otterknot.testing.ProductionCodec
+import io.otterknot.testing.ProductionVersionTransport
 import io.otterknot.testing.take
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
@@ -20,7 +20,7 @@
 import java.util.BitSet
 
 /** What the version in production wrote is read, and what is written now it can read. */
-class FormatTest {
+class StoredFormatTest {
     private fun json(text: String): JsonElement = WireJson.parseToJsonElement(text)
 
     private val productionJob = json(
@@ -44,27 +44,28 @@
             "a handover of a job that awaits nothing brings no new field",
         )
         val final = decodeRecord(JobRecord.serializer(), json("""{"a":[],"t":0,"x":"d","c":16}"""))
-        assertEquals(listOf(Final.DONE, 16, null), listOf(final.final, final.tasks, final.endedMs))
+        assertEquals(listOf(TerminalState.DONE, 16, null), listOf(final.final, final.tasks, final.endedMs))
         assertEquals(
-            DoneRecord(mapOf("j-000412" to "Aw")),
-            decodeRecord(DoneRecord.serializer(), json("""{"d":{"j-000412":"Aw"}}""")),
+            CompletionSegmentRecord(mapOf("j-000412" to "Aw")),
+            decodeRecord(CompletionSegmentRecord.serializer(), json("""{"d":{"j-000412":"Aw"}}""")),
         )
         for ((text, serializer) in listOf(
-            """{"m":{"m-000001":"big"}}""" to MachinesRecord.serializer(),
-            """{"o":"holt-0","i":"3k"}""" to PartitionRecord.serializer(),
-            """{"m":0.5,"c":64.0,"om":0.25,"oc":16.0,"n":{"red":{"c":3.0,"g":0.0}}}""" to MeanRecord.serializer(),
-            """{"z":{"a":{"c":4.0,"g":0.0},"b":{"c":8.0,"g":0.0}}}""" to AllotmentRecord.serializer(),
+            """{"m":{"m-000001":"big"}}""" to MachineSegmentRecord.serializer(),
+            """{"o":"holt-0","i":"3k"}""" to LeaderRecord.serializer(),
+            """{"m":0.5,"c":64.0,"om":0.25,"oc":16.0,"n":{"red":{"c":3.0,"g":0.0}}}""" to
+                PartitionLoadRecord.serializer(),
+            """{"z":{"a":{"c":4.0,"g":0.0},"b":{"c":8.0,"g":0.0}}}""" to QuotaSharesRecord.serializer(),
         )) {
             @Suppress("UNCHECKED_CAST")
             val any = serializer as kotlinx.serialization.KSerializer<Any>
             assertEquals(json(text), encodeRecord(any, decodeRecord(any, json(text))))
         }
         assertEquals(
-            Amount(12.0),
+            QuotaAmount(12.0),
             decodeRecord(
-                AllotmentRecord.serializer(),
+                QuotaSharesRecord.serializer(),
                 json("""{"z":{"a":{"c":4.0,"g":0.0},"b":{"c":8.0,"g":0.0}}}"""),
-            ).byZone.values.reduce(Amount::plus),
+            ).byZone.values.reduce(QuotaAmount::plus),
         )
     }
 
@@ -74,7 +75,7 @@
         val job = Job("j-000412").also { it.take(decodeRecord(JobRecord.serializer(), productionJob)) }
         job.done.set(0, job.spec!!.tasks)
         val end = JobTransitions.finish(job, 5_000, WriteLimits(2_048, 6))!!.changes.single()
-        assertEquals(json("""{"a":[],"t":0,"x":"d","c":16}"""), ProductionCodec.record(end.key, end.value!!))
+        assertEquals(json("""{"a":[],"t":0,"x":"d","c":16}"""), ProductionVersionTransport.record(end.key, end.value!!))
         val waiting = JobRecord(
             JobSpec(
                 "j-1", "k", "red", Priority.HIGH, 2, 1.0, memoryGb = 1.0, image = "i", imageGb = 1.0, estimateS = 1.0,
@@ -82,10 +83,13 @@
                     "j-2",
                 ),
             ),
-            listOf(Span("a", 0, 2)),
+            listOf(TaskSpan("a", 0, 2)),
             awaitKeys = 2,
         )
-        val read = ProductionCodec.record(Keys.job("j-1"), encodeRecord(JobRecord.serializer(), waiting)).jsonObject
+        val read = ProductionVersionTransport.record(
+            StoreKeys.job("j-1"),
+            encodeRecord(JobRecord.serializer(), waiting),
+        ).jsonObject
         assertTrue("w" !in read && "Awaits" !in read.getValue("s").jsonObject)
         assertEquals(
             waiting.copy(spec = waiting.spec!!.copy(awaits = null), awaitKeys = null),
@@ -101,16 +105,16 @@
             it.set(16_000)
             it.set(90_001)
         }
-        assertEquals(TaskBits.FINE_CHUNK, TaskBits.chunkOf(100_000))
-        val size = TaskBits.FINE_CHUNK
-        val fine = (0..90_001 / size).associate { TaskBits.name("j-1", it) to TaskBits.encode(tasks, it, size) }
+        assertEquals(TaskBitmaps.FINE_CHUNK, TaskBitmaps.chunkOf(100_000))
+        val size = TaskBitmaps.FINE_CHUNK
+        val fine = (0..90_001 / size).associate { TaskBitmaps.name("j-1", it) to TaskBitmaps.encode(tasks, it, size) }
         assertTrue(fine.values.all { it.length <= 700 })
         val table = JobTable()
-        val record = DoneRecord(mapOf("j-2" to "Aw"), fine)
-        val value = encodeRecord(DoneRecord.serializer(), record)
+        val record = CompletionSegmentRecord(mapOf("j-2" to "Aw"), fine)
+        val value = encodeRecord(CompletionSegmentRecord.serializer(), record)
         assertEquals(
             setOf("j-1", "j-2"),
-            table.changeDone(Keys.done("a", "7-0"), Entry(value, 1)).map {
+            table.changeDone(StoreKeys.done("a", "7-0"), ReplicaEntry(value, 1)).map {
                 it.id
             }.toSet(),
         )
@@ -119,8 +123,8 @@
             "j-2",
         )) {
             table.changeJob(
-                Keys.job(id),
-                Entry(
+                StoreKeys.job(id),
+                ReplicaEntry(
                     encodeRecord(
                         JobRecord.serializer(),
                         JobRecord(decodeRecord(JobRecord.serializer(), productionJob).spec),
@@ -131,8 +135,8 @@
         }
         assertEquals(tasks, table["j-1"]!!.done)
         assertEquals(
-            DoneRecord(mapOf("j-2" to "Aw")),
-            decodeRecord(DoneRecord.serializer(), ProductionCodec.record("o/d/a/7-0", value)),
+            CompletionSegmentRecord(mapOf("j-2" to "Aw")),
+            decodeRecord(CompletionSegmentRecord.serializer(), ProductionVersionTransport.record("o/d/a/7-0", value)),
         )
     }
 
--- a/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
@@ -1,13 +1,13 @@
 package io.otterknot.scheduling
 
 import io.otterknot.autoscaling.DemandWindow
-import io.otterknot.autoscaling.FleetPolicy
-import io.otterknot.autoscaling.FleetView
+import io.otterknot.autoscaling.ScalingInputs
+import io.otterknot.autoscaling.ScalingPolicy
 import io.otterknot.jobs.Job
-import io.otterknot.partition.LastSeen
+import io.otterknot.partition.HeartbeatHistory
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Span
-import io.otterknot.records.Spans
+import io.otterknot.records.TaskSpan
+import io.otterknot.records.TaskSpans
 import io.otterknot.testing.take
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.MachineType
@@ -21,7 +21,7 @@
 import kotlin.random.Random
 
 class PlacementTest {
-    private fun place(load: Double, drift: Double, idle: Boolean = false) = Place().also {
+    private fun place(load: Double, drift: Double, idle: Boolean = false) = PlacementTarget().also {
         it.load = load
         it.drift = drift
         it.idle = idle
@@ -52,7 +52,7 @@
     ) {
         for (seed in 1L..8L) {
             val places = listOf(place(l1, d1), place(l2, d2))
-            val taken = Candidates(places) { true }.choose(Random(seed)) { share }
+            val taken = PlacementCandidates(places) { true }.choose(Random(seed)) { share }
             assertEquals(places[taker - 1], taken)
             assertEquals(load, taken!!.load, 1e-9)
             assertEquals(drift, taken.drift, 1e-9)
@@ -63,7 +63,7 @@
     @ParameterizedTest
     @CsvSource("10,4096", "6000,48000")
     fun `how many machines that were let go are remembered grows with the partition`(machines: Int, kept: Int) {
-        val lastSeen = LastSeen { machines }
+        val lastSeen = HeartbeatHistory { machines }
         repeat(50_000) { lastSeen.gone("m$it") }
         assertEquals(kept, lastSeen.size)
     }
@@ -73,15 +73,15 @@
         val idle = place(0.0, 0.0, idle = true)
         assertEquals(
             idle,
-            Candidates(listOf(place(0.0, 0.0), idle, place(0.1, 0.0))) {
+            PlacementCandidates(listOf(place(0.0, 0.0), idle, place(0.1, 0.0))) {
                 true
             }.choose(Random(1)) { 0.5 },
         )
         assertEquals(false, idle.idle)
         assertEquals(0.5, idle.load)
         val only = place(0.9, 0.05)
-        assertEquals(only, Candidates(listOf(only)) { true }.choose(Random(1)) { 0.05 })
-        assertEquals(null, Candidates(emptyList<Place>()) { true }.choose(Random(1)) { 0.1 })
+        assertEquals(only, PlacementCandidates(listOf(only)) { true }.choose(Random(1)) { 0.05 })
+        assertEquals(null, PlacementCandidates(emptyList<PlacementTarget>()) { true }.choose(Random(1)) { 0.1 })
         only.reported(0.4, false)
         assertEquals(listOf(0.4, 0.0), listOf(only.load, only.drift))
     }
@@ -89,11 +89,11 @@
     @Test
     fun `places that do not fit any more are passed over, each other one as likely as before`() {
         val places = List(5) { place(0.5, 0.0) }
-        val full = HashSet<Place>()
+        val full = HashSet<PlacementTarget>()
         val taken = HashMap<Int, Int>()
         repeat(400) { seed ->
             full.clear()
-            val candidates = Candidates(places) { it !in full }
+            val candidates = PlacementCandidates(places) { it !in full }
             full.add(places[seed % 5])
             places.forEach {
                 it.load = 0.5
@@ -143,7 +143,7 @@
         assertTrue(spans.size == 3 && spans.all { it.until - it.from in 60..140 }, "$spans")
         assertEquals(1, PartitionChooser.deal(spec(30, oneZone = true), views(0.0, 0.0), Random(1)).size)
         assertEquals(
-            listOf(Span("z1", 0, 30)),
+            listOf(TaskSpan("z1", 0, 30)),
             PartitionChooser.deal(spec(30, zone = "z1"), views(0.0, 0.0), Random(1)),
         )
     }
@@ -154,20 +154,20 @@
             it.set(2, 4)
             it.set(7)
         }
-        val before = listOf(Span("a", 0, 5), Span("b", 5, 9))
-        val after = Spans.move(before, tasks, "c")
+        val before = listOf(TaskSpan("a", 0, 5), TaskSpan("b", 5, 9))
+        val after = TaskSpans.move(before, tasks, "c")
         assertEquals(
             listOf(
-                Span("a", 0, 2),
-                Span("c", 2, 4),
-                Span("a", 4, 5),
-                Span("b", 5, 7),
-                Span("c", 7, 8),
-                Span("b", 8, 9),
+                TaskSpan("a", 0, 2),
+                TaskSpan("c", 2, 4),
+                TaskSpan("a", 4, 5),
+                TaskSpan("b", 5, 7),
+                TaskSpan("c", 7, 8),
+                TaskSpan("b", 8, 9),
             ),
             after,
         )
-        assertEquals(listOf(Span("a", 0, 9)), Spans.move(after, BitSet().also { it.set(0, 9) }, "a"))
+        assertEquals(listOf(TaskSpan("a", 0, 9)), TaskSpans.move(after, BitSet().also { it.set(0, 9) }, "a"))
     }
 
     private fun waiting(spec: JobSpec, submittedMs: Long) =
@@ -176,15 +176,15 @@
     @ParameterizedTest
     @CsvSource("1,0", "9,1", "25,2", "53,2", "56,4", "70,4", "95,5")
     fun `missed aims are counted by age`(ageS: Long, missed: Int) {
-        val aims = Aims(
+        val aims = ServiceLevelObjectives(
             mapOf(
                 "k" to
                     listOf(
-                        Aim.Started(8.0, 0.9),
-                        Aim.Started(20.0, 0.9),
-                        Aim.Finished(60.0),
-                        Aim.Deadline(1.0),
-                        Aim.Deadline(1.5),
+                        ServiceLevelObjective.Started(8.0, 0.9),
+                        ServiceLevelObjective.Started(20.0, 0.9),
+                        ServiceLevelObjective.Finished(60.0),
+                        ServiceLevelObjective.Deadline(1.0),
+                        ServiceLevelObjective.Deadline(1.5),
                     ),
             ),
         )
@@ -197,7 +197,10 @@
     /** By missed aims alone, what was late once would wait behind all that is new until it is late for good. */
     @Test
     fun `what is about to miss an aim goes first, what has none left last, and the least work before more`() {
-        val aims = Aims(mapOf("k" to listOf(Aim.Deadline(1.0), Aim.Started(180.0, 0.9))))
+        val aims =
+            ServiceLevelObjectives(
+                mapOf("k" to listOf(ServiceLevelObjective.Deadline(1.0), ServiceLevelObjective.Started(180.0, 0.9))),
+            )
         fun job(name: String, tasks: Int, ageS: Long, kind: String = "k") = waiting(
             spec(tasks).copy(id = name, kind = kind, dueS = 70.0, estimateS = 20.0),
             (1_000 - ageS) * 1_000,
@@ -213,7 +216,7 @@
             job("new and large", 90, 2),
             job("of a class without aims", 7, 300, "other"),
         )
-        val order = WaitOrder(aims) { it }.sorted(jobs, 1_000_000).map { it.id }
+        val order = SchedulingQueue(aims) { it }.sorted(jobs, 1_000_000).map { it.id }
         assertEquals(
             listOf(
                 "soon late",
@@ -252,33 +255,33 @@
             MachineType("slow", 32.0, 0.0, 64.0, price = 2.0, spotPrice = 0.7, bootS = 40.0, zones = listOf("a")),
             MachineType("fast", 16.0, 0.0, 64.0, price = 1.2, spotPrice = 0.4, bootS = 15.0, zones = listOf("a")),
         )
-        val policy = FleetPolicy()
-        val rents = policy.rent(FleetView(20.0, 100.0, 0.0, 0.0), types, "a") { false }
+        val policy = ScalingPolicy()
+        val rents = policy.rent(ScalingInputs(20.0, 100.0, 0.0, 0.0), types, "a") { false }
         // Per core the slow type is cheaper, but it does nothing for so long that the fast one costs less for a short
         // stay.
         assertEquals(listOf("fast" to false, "fast" to true), rents.map { it.kind.type to it.kind.spot })
         assertEquals(listOf(2, 6), rents.map { it.count })
         assertEquals(
             listOf("slow" to true),
-            policy.rent(FleetView(0.0, 100.0, 0.0, 0.0), types, "a") {
+            policy.rent(ScalingInputs(0.0, 100.0, 0.0, 0.0), types, "a") {
                 it.type ==
                     "fast"
             }.map { it.kind.type to it.kind.spot },
         )
         assertEquals(
             listOf("fast" to false),
-            policy.rent(FleetView(0.0, 30.0, 0.0, 0.0), types, "a") { it.spot }.map {
+            policy.rent(ScalingInputs(0.0, 30.0, 0.0, 0.0), types, "a") { it.spot }.map {
                 it.kind.type to
                     it.kind.spot
             },
         )
         assertEquals(
             300,
-            policy.rent(FleetView(0.0, 4_200.0, 0.0, 0.0), types, "a") {
+            policy.rent(ScalingInputs(0.0, 4_200.0, 0.0, 0.0), types, "a") {
                 it.type == "slow"
             }.single().count.coerceAtMost(300),
         )
-        assertTrue(policy.spares(FleetView(10.0, 40.0, 32.0, 96.0), spot = true, cores = 32.0))
-        assertTrue(!policy.spares(FleetView(30.0, 40.0, 32.0, 96.0), spot = false, cores = 16.0))
+        assertTrue(policy.spares(ScalingInputs(10.0, 40.0, 32.0, 96.0), spot = true, cores = 32.0))
+        assertTrue(!policy.spares(ScalingInputs(30.0, 40.0, 32.0, 96.0), spot = false, cores = 16.0))
     }
 }
--- a/src/test/kotlin/io/otterknot/store/StateLinkTest.kt
+++ b/src/test/kotlin/io/otterknot/store/StoreConnectionTest.kt
@@ -15,7 +15,7 @@
  * What a transaction is said to have come to when its node may have to ask by way of another controller. Only an answer of
  * the state service itself says that it was not carried out, and after no answer it is not sent once more.
  */
-class StateLinkTest {
+class StoreConnectionTest {
     private var clockMs = 0L
 
     private fun reply(text: String): Reply =
@@ -57,7 +57,7 @@
         sentDirectly: Int,
         carriedOn: Int,
     ) = runTest {
-        val contact = Contact { clockMs }
+        val contact = StoreHealth { clockMs }
         repeat(failures) {
             contact.note(reply("503"))
             clockMs += 500
@@ -68,8 +68,8 @@
             sent++
             reply(direct)
         }
-        val relays = Relays(listOf(PeerRelay(peer(carried) { asked++ })), Random(1)) { clockMs }
-        val outcome = StateLink(straight, contact, relays).call("POST", "/txn", ByteArray(0), 1_000)
+        val relays = RelayPool(listOf(PeerRelay(peer(carried) { asked++ })), Random(1)) { clockMs }
+        val outcome = StoreConnection(straight, contact, relays).call("POST", "/txn", ByteArray(0), 1_000)
         assertEquals(listOf(expected, sentDirectly, carriedOn), listOf(text(outcome), sent, asked))
     }
 }
--- a/src/test/kotlin/io/otterknot/store/ReplicaTest.kt
+++ b/src/test/kotlin/io/otterknot/store/StoreReplicaTest.kt
@@ -2,12 +2,12 @@
 
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
-import io.otterknot.metrics.Figures
-import io.otterknot.ratelimit.RateBudget
-import io.otterknot.testing.StateBench
-import io.otterknot.testing.StateStandIn
+import io.otterknot.metrics.Metrics
+import io.otterknot.ratelimit.RateLimiter
+import io.otterknot.testing.FakeKeyValueStore
+import io.otterknot.testing.StoreFixture
 import io.otterknot.testing.take
-import io.otterknot.wire.Change
+import io.otterknot.wire.KeyChange
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.async
 import kotlinx.coroutines.delay
@@ -24,7 +24,7 @@
 import kotlin.random.Random
 
 /** How long a reader waits for the replica, and what that costs in requests. */
-class ReplicaTest {
+class StoreReplicaTest {
     /**
      * Readers come every 100 ms, and something is written before each: while requests are ample none waits for the
      * pause between two watches; while they are scarce, the pauses keep the node within its share (and the burst of one second).
@@ -35,15 +35,15 @@
     fun `what is waited for is fetched at once while requests are ample`(perS: Double, mostMs: Long, mostPerS: Int) =
         runTest {
             val now = { testScheduler.currentTime }
-            val state = StateStandIn(this, Random(1), now)
+            val state = FakeKeyValueStore(this, Random(1), now)
             var requests = 0
             val link = state.link("n")
             val counted = Transport { method, target, body, timeoutMs ->
                 requests++
                 link.call(method, target, body, timeoutMs)
             }
-            val client = StateClient(counted, counted, RateBudget(perS, 100.0, now), Figures(now))
-            val replica = Replica(client, Random(1), now, pauseMs = 250)
+            val client = KeyValueStoreClient(counted, counted, RateLimiter(perS, 100.0, now), Metrics(now))
+            val replica = StoreReplica(client, Random(1), now, pauseMs = 250)
             val background = listOf(launch { replica.follow() }, launch { replica.serveBarrier() })
             replica.awaitLoaded()
             delay(1_000)
@@ -51,7 +51,7 @@
             val before = requests
             val waits = ArrayList<Long>()
             repeat(40) {
-                state.store(Change(put = "o/x/a", value = JsonPrimitive(it)))
+                state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(it)))
                 launch {
                     val entered = currentTime
                     replica.upToDate(5_000)
@@ -71,7 +71,7 @@
     @Test
     fun `a barrier that is entered while another's read is on its way waits for a read of its own`() = runTest {
         var answerMs = 0L
-        val bench = StateBench(this) { service ->
+        val bench = StoreFixture(this) { service ->
             val link = service.link("n")
             Transport { method, target, body, timeoutMs ->
                 link.call(method, target, body, timeoutMs).also { if (target == "/store/o/none") delay(answerMs) }
@@ -85,7 +85,7 @@
         delay(100)
         // Nothing of this is shown by the watch before the first barrier is through.
         bench.state.watchless = "n"
-        bench.state.store(Change(put = "o/x/a", value = JsonPrimitive(7)))
+        bench.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(7)))
         val second = async { replica.upToDate(5_000) to replica["o/x/a"]?.value }
         assertTrue(first.await())
         bench.state.watchless = null
@@ -97,7 +97,7 @@
     @Test
     fun `reading everything again never takes a key back`() = runTest {
         var old: Reply? = null
-        val bench = StateBench(this) { service ->
+        val bench = StoreFixture(this) { service ->
             val link = service.link("n")
             Transport { method, target, body, timeoutMs ->
                 val reply = link.call(method, target, body, timeoutMs)
@@ -107,14 +107,14 @@
         val replica = bench.replica
         val shown = ArrayList<Any?>()
         replica.onChange = { _, entry -> shown.add(entry?.value) }
-        bench.state.store(Change(put = "o/x/a", value = JsonPrimitive(1)))
+        bench.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(1)))
         val background = launch { replica.follow() }
         replica.awaitLoaded()
         delay(100)
-        bench.state.store(Change(put = "o/x/a", value = JsonPrimitive(2)))
+        bench.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(2)))
         delay(1_000)
         bench.state.keptChanges = 1
-        repeat(3) { bench.state.store(Change(put = "o/x/b", value = JsonPrimitive(it))) }
+        repeat(3) { bench.state.store(KeyChange(put = "o/x/b", value = JsonPrimitive(it))) }
         delay(3_000)
         assertEquals(JsonPrimitive(2), replica["o/x/a"]?.value)
         assertEquals(listOf<Any?>(JsonPrimitive(1), JsonPrimitive(2)), shown.take(2))
@@ -124,12 +124,12 @@
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `a barrier does not pass while the watch stands still`() = runTest {
-        val bench = StateBench(this)
+        val bench = StoreFixture(this)
         val replica = bench.replica
         val background = listOf(launch { replica.follow() }, launch { replica.serveBarrier() })
         replica.awaitLoaded()
         bench.state.watchless = "n"
-        bench.state.store(Change(put = "o/x/a", value = JsonPrimitive(1)))
+        bench.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(1)))
         assertFalse(replica.upToDate(5_000))
         bench.state.watchless = null
         assertTrue(replica.upToDate(5_000))
--- a/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
+++ b/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
@@ -2,17 +2,17 @@
 
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
-import io.otterknot.leadership.OwnerTxn
-import io.otterknot.leadership.Ownership
+import io.otterknot.leadership.FencedTransactions
+import io.otterknot.leadership.PartitionLeadership
+import io.otterknot.partition.LeaseTimings
 import io.otterknot.partition.Partition
-import io.otterknot.partition.PartitionTimings
-import io.otterknot.records.Keys
-import io.otterknot.scheduling.Aims
-import io.otterknot.testing.StateBench
-import io.otterknot.testing.StateStandIn
+import io.otterknot.records.StoreKeys
+import io.otterknot.scheduling.ServiceLevelObjectives
+import io.otterknot.testing.FakeKeyValueStore
+import io.otterknot.testing.StoreFixture
 import io.otterknot.testing.take
-import io.otterknot.wire.Change
-import io.otterknot.wire.Guard
+import io.otterknot.wire.KeyChange
+import io.otterknot.wire.VersionCondition
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.cancelChildren
 import kotlinx.coroutines.currentCoroutineContext
@@ -38,32 +38,32 @@
     @CsvSource("1,4000,3000,40", "1,1100,1024,40", "2,4000,8192,1", "16,100,8192,8", "17,100,8192,8")
     fun `several changes are halved in number, a single one in size`(count: Int, bytes: Int, value: Int, ops: Int) {
         val limits = WriteLimits(8_192, 40)
-        limits.refused(List(count) { Change(put = "k$it", value = value(bytes)) })
+        limits.refused(List(count) { KeyChange(put = "k$it", value = value(bytes)) })
         assertEquals(value to ops, limits.valueBytes to limits.txnOps)
     }
 
     @Test
     fun `limits count bytes, not characters`() {
         val limits = WriteLimits(1_024, 4)
-        assertTrue(limits.fits(Change(put = "k", value = JsonPrimitive("l".repeat(1_000)))))
-        assertTrue(!limits.fits(Change(put = "k", value = JsonPrimitive("ł".repeat(1_000)))))
+        assertTrue(limits.fits(KeyChange(put = "k", value = JsonPrimitive("l".repeat(1_000)))))
+        assertTrue(!limits.fits(KeyChange(put = "k", value = JsonPrimitive("ł".repeat(1_000)))))
     }
 
     @Test
     fun `one value that is refused holds up only what depends on it`() = runTest {
-        val bench = StateBench(this)
+        val bench = StoreFixture(this)
         val follower = launch { bench.replica.follow() }
         bench.replica.awaitLoaded()
         bench.state.maxValueBytes = 1_500
         bench.state.maxOps = 3
         val writer =
-            Writer(bench.client, bench.replica, Random(1), WriteLimits(8_192, 40)) { testScheduler.currentTime }
+            BatchWriter(bench.client, bench.replica, Random(1), WriteLimits(8_192, 40)) { testScheduler.currentTime }
         val small = (1..9).map { PendingWrite("o/d/a/$it", value(100)) }
         val large = PendingWrite("o/m/a/0", value(2_000))
         val dependent = PendingWrite("o/m/a/1", value(200), after = setOf(large.key))
         val chained = PendingWrite("o/m/a/2", value(200), after = setOf(dependent.key))
         val writes = listOf(large, dependent, chained) + small
-        while (testScheduler.currentTime < 4_000 && writer.write(Guard("o/p/a", 0), writes) {}) Unit
+        while (testScheduler.currentTime < 4_000 && writer.write(VersionCondition("o/p/a", 0), writes) {}) Unit
         assertTrue(small.all { bench.state.value(it.key) != null }, "the others are written")
         assertTrue(
             writes.take(3).all {
@@ -72,18 +72,18 @@
             "nothing is given up that nobody has taken",
         )
         val smaller = PendingWrite(large.key, value(1_000))
-        while (writer.write(Guard("o/p/a", 0), listOf(smaller, dependent, chained)) {}) Unit
+        while (writer.write(VersionCondition("o/p/a", 0), listOf(smaller, dependent, chained)) {}) Unit
         assertTrue(writes.all { bench.state.value(it.key) != null }, "once it is smaller, all are written at once")
         assertTrue(testScheduler.currentTime < 7_000)
         follower.cancel()
     }
 
     /** Answers each transaction with the next status; null: no answer comes. */
-    private fun script(state: StateStandIn, statuses: List<Int?>): Transport {
+    private fun script(state: FakeKeyValueStore, statuses: List<Int?>): Transport {
         val left = ArrayDeque(statuses)
         val link = state.link("n")
         return Transport { method, target, body, timeoutMs ->
-            val isChange = target == "/txn" && body!!.decodeToString().contains(Keys.JOBS)
+            val isChange = target == "/txn" && body!!.decodeToString().contains(StoreKeys.JOBS)
             val status = if (isChange && left.isNotEmpty()) left.removeFirst() else 0
             when (status) {
                 0 -> link.call(method, target, body, timeoutMs)
@@ -101,10 +101,10 @@
         expected: String,
     ) = runTest {
         val statuses = answers.split('|').dropLast(1).map { it.toIntOrNull() }
-        val bench = StateBench(this) { script(it, statuses) }
+        val bench = StoreFixture(this) { script(it, statuses) }
         val partitions = HashMap<String, Partition>()
         val now = { testScheduler.currentTime }
-        val ownership = Ownership(
+        val ownership = PartitionLeadership(
             "n", listOf("a"), mapOf("n" to "a"), bench.client, bench.replica, 20_000, now, Random(1),
             machines = { emptySet() },
             onClaim = { _, _, _ -> },
@@ -121,13 +121,14 @@
         while (ownership.token("a") == null) kotlinx.coroutines.delay(50)
         val token = ownership.token("a")!!
         val partition = Partition(
-            "a", token, 0, 0, PartitionTimings(10_000), Random(1), Aims(emptyMap()), {
+            "a", token, 0, 0, LeaseTimings(10_000), Random(1), ServiceLevelObjectives(emptyMap()), {
                 it
             }, { null }, emptyList(), emptyMap(),
         )
         partitions["a"] = partition
-        val txn = OwnerTxn(bench.client, bench.replica, ownership, partitions, WriteLimits(8_192, 40), Random(1))
-        val settled = txn.settle(partition, GuardedChange.put(Snapshot.absent(Keys.job("j-1")), value(100)))
+        val txn =
+            FencedTransactions(bench.client, bench.replica, ownership, partitions, WriteLimits(8_192, 40), Random(1))
+        val settled = txn.settle(partition, CompareAndSwap.put(Snapshot.absent(StoreKeys.job("j-1")), value(100)))
         assertEquals(expected, settled.name)
         kotlinx.coroutines.delay(2_000)
         val lost = expected == "PART_LOST"
--- a/src/test/kotlin/io/otterknot/testing/Case.kt
+++ b/src/test/kotlin/io/otterknot/testing/ClusterScenario.kt
@@ -1,7 +1,7 @@
 package io.otterknot.testing
 
 import io.otterknot.config.OperatorSettings
-import io.otterknot.config.TeamFacts
+import io.otterknot.config.TeamSettings
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.cancelChildren
@@ -16,7 +16,7 @@
 import kotlin.time.Duration.Companion.minutes
 
 /** A trouble, or several that meet, in the life of a cluster. */
-class Case(
+class ClusterScenario(
     val name: String,
     val teamLimit: Double = 0.0,
     val capacity: Int = 4,
@@ -28,8 +28,8 @@
     val mixture: Boolean = true,
     val operators: OperatorSettings = OperatorSettings(),
     /** The teams, where they are not the usual two. */
-    val teams: List<TeamFacts> = listOf(TeamFacts("red", cpusMax = teamLimit), TeamFacts("blue")),
-    val trouble: suspend ClusterStandIn.() -> Unit,
+    val teams: List<TeamSettings> = listOf(TeamSettings("red", cpusMax = teamLimit), TeamSettings("blue")),
+    val trouble: suspend SimulatedCluster.() -> Unit,
 ) {
     override fun toString() = name
 
@@ -40,7 +40,7 @@
             coroutineScope {
                 val started = testScheduler.currentTime
                 val cluster =
-                    ClusterStandIn(
+                    SimulatedCluster(
                         this,
                         seed,
                         { testScheduler.currentTime },
--- a/src/test/kotlin/io/otterknot/testing/CloudStandIn.kt
+++ b/src/test/kotlin/io/otterknot/testing/FakeCloud.kt
@@ -7,28 +7,28 @@
 import io.otterknot.wire.MachineNames
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.MachineTypes
-import io.otterknot.wire.RentRequest
+import io.otterknot.wire.ScaleOutRequest
 import io.otterknot.wire.WireJson
 import kotlinx.coroutines.delay
 
 /** A cloud of one machine type, with [capacity] machines of each kind in a zone; its list is two seconds late. */
-class CloudStandIn(
+class FakeCloud(
     zones: List<String>,
     private val capacity: Int,
     private val nowMs: () -> Long,
-    private val newWorker: (id: String, zone: String, spot: Boolean) -> WorkerStandIn,
+    private val newWorker: (id: String, zone: String, spot: Boolean) -> SimulatedWorker,
 ) : Transport {
     private val types = listOf(MachineType("big", 8.0, 0.0, 64.0, 20.0, 1.0, 1.0, 0.4, 3.0, zones))
     private val bids = HashMap<String, List<String>>()
-    private val workersById = LinkedHashMap<String, WorkerStandIn>()
+    private val workersById = LinkedHashMap<String, SimulatedWorker>()
     private var lastMachine = 0
 
     /** It answers nothing but 503. */
     var away = false
 
-    val workers: Collection<WorkerStandIn> get() = workersById.values
+    val workers: Collection<SimulatedWorker> get() = workersById.values
 
-    fun boot(zone: String, spot: Boolean): WorkerStandIn {
+    fun boot(zone: String, spot: Boolean): SimulatedWorker {
         val worker = newWorker("m-%06d".format(++lastMachine), zone, spot)
         workersById[worker.id] = worker
         return worker
@@ -47,7 +47,7 @@
             target == "/flavors" -> answer(200, WireJson.encodeToString(MachineTypes.serializer(), MachineTypes(types)))
             target.startsWith("/machines/release") -> release(text)
             method == "GET" -> list()
-            else -> rent(WireJson.decodeFromString(RentRequest.serializer(), text))
+            else -> rent(WireJson.decodeFromString(ScaleOutRequest.serializer(), text))
         }
     }
 
@@ -63,7 +63,7 @@
         return answer(200, WireJson.encodeToString(MachineList.serializer(), MachineList(listed)))
     }
 
-    private fun rent(request: RentRequest): Reply {
+    private fun rent(request: ScaleOutRequest): Reply {
         val names = bids.getOrPut(request.request) {
             val room = capacity - workers.count { it.zone == request.zone && it.spot == request.spot }
             List(minOf(room, request.count).coerceAtLeast(0)) { boot(request.zone, request.spot).id }
--- a/src/test/kotlin/io/otterknot/testing/StateStandIn.kt
+++ b/src/test/kotlin/io/otterknot/testing/FakeKeyValueStore.kt
@@ -2,11 +2,11 @@
 
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
-import io.otterknot.wire.Change
+import io.otterknot.wire.KeyChange
+import io.otterknot.wire.KeyValue
+import io.otterknot.wire.KeyValuePage
 import io.otterknot.wire.LeaseRequest
-import io.otterknot.wire.StoredPage
-import io.otterknot.wire.StoredValue
-import io.otterknot.wire.Txn
+import io.otterknot.wire.TransactionRequest
 import io.otterknot.wire.WatchEvents
 import io.otterknot.wire.WireJson
 import kotlinx.coroutines.CoroutineScope
@@ -18,13 +18,13 @@
 import kotlin.random.Random
 
 /** A state service in memory, on virtual time, that can be away, lose answers and apply transactions late. */
-class StateStandIn(private val scope: CoroutineScope, private val random: Random, private val nowMs: () -> Long) {
+class FakeKeyValueStore(private val scope: CoroutineScope, private val random: Random, private val nowMs: () -> Long) {
     private class Kept(val value: JsonElement, val version: Long, val lease: Long?)
     private class Lease(val ttlMs: Long, var endsMs: Long)
 
     private val data = TreeMap<String, Kept>()
     private val leases = HashMap<Long, Lease>()
-    private val log = ArrayList<Change>()
+    private val log = ArrayList<KeyChange>()
     private var nextLease = 1L
     var revision = 0L
         private set
@@ -80,7 +80,7 @@
     /** What was refused for its size. */
     val tooLarge = ArrayList<String>()
 
-    private fun refusal(txn: Txn): Reply? {
+    private fun refusal(txn: TransactionRequest): Reply? {
         val large = txn.changes.filter { it.value.toString().length > maxValueBytes }.map { it.key }
         if (large.isNotEmpty() || txn.changes.size > maxOps) {
             tooLarge.add("${txn.changes.size} changes, too large: $large")
@@ -100,8 +100,8 @@
     }
 
     /** What somebody else has stored, whatever was there. */
-    fun store(vararg changes: Change) {
-        commit(Txn(emptyList(), changes.toList()))
+    fun store(vararg changes: KeyChange) {
+        commit(TransactionRequest(emptyList(), changes.toList()))
     }
 
     fun value(key: String): JsonElement? = data[key]?.value
@@ -134,7 +134,7 @@
         }
         return when {
             path == "/txn" -> {
-                val txn = WireJson.decodeFromString(Txn.serializer(), body!!.decodeToString())
+                val txn = WireJson.decodeFromString(TransactionRequest.serializer(), body!!.decodeToString())
                 refusal(txn)?.let { return it }
                 if (lateWrites > 0 && random.nextDouble() < lateWrites) {
                     scope.launch {
@@ -193,13 +193,13 @@
                     it.key.startsWith(under)
                 }
                 val page = items.take(minOf(query.getValue("Page").toInt(), pageKeys)).map {
-                    StoredValue(it.key, it.value.value, it.value.version)
+                    KeyValue(it.key, it.value.value, it.value.version)
                 }
                 answer(
                     200,
                     WireJson.encodeToString(
-                        StoredPage.serializer(),
-                        StoredPage(page, page.size < items.size, revision),
+                        KeyValuePage.serializer(),
+                        KeyValuePage(page, page.size < items.size, revision),
                     ),
                 )
             }
@@ -222,7 +222,7 @@
         }
     }
 
-    private fun commit(txn: Txn): Reply {
+    private fun commit(txn: TransactionRequest): Reply {
         expire()
         val leaseEnded = txn.changes.any { it.put != null && it.lease != null && it.lease !in leases }
         if (leaseEnded) return answer(400, """{"error":"no such lease"}""")
@@ -237,9 +237,9 @@
             if (put != null) {
                 data[put]?.let { onOverwrite(put, it.value, change.value!!) }
                 data[put] = Kept(change.value!!, revision, change.lease)
-                log.add(Change(put = put, value = change.value, version = revision))
+                log.add(KeyChange(put = put, value = change.value, version = revision))
             } else if (data.remove(change.key) != null) {
-                log.add(Change(remove = change.key, version = revision))
+                log.add(KeyChange(remove = change.key, version = revision))
             }
         }
         return answer(200, """{"Tide":$revision}""")
@@ -253,7 +253,7 @@
         for (key in data.filterValues { it.lease in ended }.keys.toList()) {
             revision++
             data.remove(key)
-            log.add(Change(remove = key, version = revision))
+            log.add(KeyChange(remove = key, version = revision))
         }
     }
 
--- a/src/test/kotlin/io/otterknot/testing/ProductionCodec.kt
+++ b/src/test/kotlin/io/otterknot/testing/ProductionVersionTransport.kt
@@ -13,7 +13,7 @@
  * The state service as the version in production sees it: fields that came later are ignored when they are read, and so
  * are gone when a record is written anew; keys that came later are never asked for or written.
  */
-class ProductionCodec(private val link: Transport) : Transport {
+class ProductionVersionTransport(private val link: Transport) : Transport {
     override suspend fun call(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
         val sent = if (target == "/txn" &&
             body != null
--- a/src/test/kotlin/io/otterknot/testing/RuleChecks.kt
+++ b/src/test/kotlin/io/otterknot/testing/SafetyChecks.kt
@@ -2,7 +2,7 @@
 
 import io.otterknot.http.HttpResponse
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Keys
+import io.otterknot.records.StoreKeys
 import io.otterknot.records.decodeRecord
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.JobStatus
@@ -18,11 +18,11 @@
 private val FINAL_STATES = listOf("done", "aborted")
 
 /** Knows what users were told and what ran, and notes in [broken] every rule that is broken. */
-class RuleChecks(
+class SafetyChecks(
     private val nowMs: () -> Long,
     /** The most cores of each team; 0: no limit. */
     private val limits: Map<String, Double>,
-    private val workers: () -> Collection<WorkerStandIn>,
+    private val workers: () -> Collection<SimulatedWorker>,
 ) {
     val broken = ArrayList<String>()
 
@@ -88,7 +88,7 @@
 
     /** The state service holds another value for a key than before: a job's final state is never changed. */
     fun overwritten(key: String, before: JsonElement, after: JsonElement) {
-        if (!key.startsWith(Keys.JOBS)) return
+        if (!key.startsWith(StoreKeys.JOBS)) return
         val final = decodeRecord(JobRecord.serializer(), before).final ?: return
         val now = decodeRecord(JobRecord.serializer(), after).final
         if (now != final) broken.add("went_back: $key is stored as $final, then as $now")
@@ -155,7 +155,7 @@
         specs[id]?.let { spec -> (0 until spec.tasks).all { "$id/$it" in completed } } ?: false
 
     /** Task [name] starts on [worker]. */
-    fun starting(worker: WorkerStandIn, name: String, spec: JobSpec) {
+    fun starting(worker: SimulatedWorker, name: String, spec: JobSpec) {
         starts++
         startedAt.putIfAbsent(name, nowMs())
         checkTimes(name, spec)
@@ -179,7 +179,7 @@
         if (nowMs() - cancelledMs > CANCEL_MS) broken.add("ran_cancelled: $name starts")
     }
 
-    private fun checkPlace(worker: WorkerStandIn, name: String, spec: JobSpec) {
+    private fun checkPlace(worker: SimulatedWorker, name: String, spec: JobSpec) {
         val elsewhere = workers().filter { it !== worker && name in it.holding() }
         if (elsewhere.isNotEmpty()) broken.add("ran_twice: $name on ${worker.id} and ${elsewhere.map { it.id }}")
         if (worker.spot && !spec.spot) broken.add("wrong_place: $name on spot machine ${worker.id}")
@@ -237,7 +237,7 @@
         return underLimit && workers().any { it.sound && it.freeCores >= spec.cores && allowed(spec, it) }
     }
 
-    private fun allowed(spec: JobSpec, worker: WorkerStandIn): Boolean {
+    private fun allowed(spec: JobSpec, worker: SimulatedWorker): Boolean {
         if ((worker.spot && !spec.spot) || (spec.zone != null && spec.zone != worker.zone)) return false
         val zones = workers().flatMap { other ->
             other.shown().filter { it.startsWith("${spec.id}/") }.map { other.zone }
--- a/src/test/kotlin/io/otterknot/testing/ClusterStandIn.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedCluster.kt
@@ -1,25 +1,25 @@
 package io.otterknot.testing
 
-import io.otterknot.config.CloudFacts
+import io.otterknot.config.AnnouncedStoreLimits
+import io.otterknot.config.CloudSettings
 import io.otterknot.config.Endpoints
-import io.otterknot.config.Facts
 import io.otterknot.config.Member
-import io.otterknot.config.NextStateFacts
-import io.otterknot.config.Objective
+import io.otterknot.config.ObjectiveSettings
 import io.otterknot.config.OperatorSettings
 import io.otterknot.config.Settings
-import io.otterknot.config.StateFacts
-import io.otterknot.config.TeamFacts
-import io.otterknot.config.WorkerFacts
+import io.otterknot.config.SiteSettings
+import io.otterknot.config.StoreSettings
+import io.otterknot.config.TeamSettings
+import io.otterknot.config.WorkerSettings
 import io.otterknot.controller.Controller
-import io.otterknot.controller.Links
+import io.otterknot.controller.ControllerTransports
 import io.otterknot.http.HttpRequest
 import io.otterknot.http.HttpResponse
 import io.otterknot.peer.PeerTransport
 import io.otterknot.rebalance.MoveKind
 import io.otterknot.rebalance.MoveState
-import io.otterknot.records.Keys
-import io.otterknot.records.PartitionRecord
+import io.otterknot.records.LeaderRecord
+import io.otterknot.records.StoreKeys
 import io.otterknot.records.decodeRecord
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
@@ -32,7 +32,7 @@
 import kotlin.random.Random
 
 /** Three controllers, their workers, users, cloud and state service, on virtual time, and the faults they meet. */
-class ClusterStandIn(
+class SimulatedCluster(
     val scope: CoroutineScope,
     seed: Long,
     val nowMs: () -> Long,
@@ -43,17 +43,17 @@
     private val changesPerS: Double = 300.0,
     /** What the operators have switched on. */
     var operators: OperatorSettings = OperatorSettings(),
-    private val teams: List<TeamFacts> = listOf(TeamFacts("red", cpusMax = teamLimit), TeamFacts("blue")),
+    private val teams: List<TeamSettings> = listOf(TeamSettings("red", cpusMax = teamLimit), TeamSettings("blue")),
 ) {
     val random = Random(seed)
     val zones = listOf("a", "b", "c")
     val nodes = zones.map { "holt-$it" }
-    val state = StateStandIn(scope, random, nowMs)
+    val state = FakeKeyValueStore(scope, random, nowMs)
     private val limits = teams.associate { it.name to it.cpusMax }
-    private val cloud: CloudStandIn =
-        CloudStandIn(zones, capacity, nowMs) { id, zone, spot -> WorkerStandIn(this, id, zone, spot) }
-    val rules = RuleChecks(nowMs, limits) { cloud.workers }
-    private val users = JobUsers(scope, random, nowMs, nodes, rules, ::ask)
+    private val cloud: FakeCloud =
+        FakeCloud(zones, capacity, nowMs) { id, zone, spot -> SimulatedWorker(this, id, zone, spot) }
+    val rules = SafetyChecks(nowMs, limits) { cloud.workers }
+    private val users = SimulatedUsers(scope, random, nowMs, nodes, rules, ::ask)
     private val running = HashMap<String, Job>()
 
     init {
@@ -61,7 +61,7 @@
     }
 
     private val controllers = HashMap<String, Controller>()
-    private val dispatchers = nodes.associateWith { NodeDispatcher.of(scope) }
+    private val dispatchers = nodes.associateWith { SimulatedNodeDispatcher.of(scope) }
 
     // ---- faults and other circumstances
 
@@ -84,9 +84,9 @@
     private var cutZone: String? = null
 
     /** The limits of the state service that nodes are told will come. */
-    var next = NextStateFacts()
+    var next = AnnouncedStoreLimits()
 
-    /** Nodes that run the version before this one, as far as what is stored goes: see [ProductionCodec]. */
+    /** Nodes that run the version before this one, as far as what is stored goes: see [ProductionVersionTransport]. */
     val old = HashSet<String>()
 
     /** Run times of single tasks, where they differ from the rest of their job. */
@@ -113,9 +113,9 @@
     fun startNode(label: String) {
         if (label in running) return
         val settings = settings(label)
-        val link = if (label in old) ProductionCodec(state.link(label)) else state.link(label)
+        val link = if (label in old) ProductionVersionTransport(state.link(label)) else state.link(label)
         val peers = settings.members.associate { it.label to peer(label, it.label) }
-        val links = Links(link, link, cloud, peers)
+        val links = ControllerTransports(link, link, cloud, peers)
         // A version before load spread knows nothing of the operators' file.
         val known = { if (label in old) OperatorSettings() else operators }
         val controller = Controller(settings, links, Random(random.nextLong()), nowMs, nowMs, known)
@@ -126,14 +126,14 @@
     }
 
     private fun settings(label: String): Settings {
-        val facts = Facts(
+        val facts = SiteSettings(
             nodes = 3,
             zones = zones,
             teams = teams,
-            objectives = listOf(Objective("wait", "urgent", 8.0, 0.9)),
-            workers = WorkerFacts(0.8, LEASE_S, CANCEL_S),
-            state = StateFacts(600.0, changesPerS, 8.0, 40, next),
-            cloud = CloudFacts(30.0, 1.0),
+            objectives = listOf(ObjectiveSettings("wait", "urgent", 8.0, 0.9)),
+            workers = WorkerSettings(0.8, LEASE_S, CANCEL_S),
+            state = StoreSettings(600.0, changesPerS, 8.0, 40, next),
+            cloud = CloudSettings(30.0, 1.0),
         )
         return Settings(
             label = label,
@@ -193,17 +193,17 @@
 
     /** Who owns which partition, as the state service says. */
     fun owners(): Map<String, String> = zones.mapNotNull { zone ->
-        state.value(Keys.partition(zone))?.let { zone to decodeRecord(PartitionRecord.serializer(), it).owner }
+        state.value(StoreKeys.partition(zone))?.let { zone to decodeRecord(LeaderRecord.serializer(), it).owner }
     }.toMap()
 
     // ---- machines
 
-    fun machines(): List<WorkerStandIn> = cloud.workers.toList()
+    fun machines(): List<SimulatedWorker> = cloud.workers.toList()
 
-    fun boot(zone: String, spot: Boolean): WorkerStandIn = cloud.boot(zone, spot)
+    fun boot(zone: String, spot: Boolean): SimulatedWorker = cloud.boot(zone, spot)
 
     /** The cloud takes a machine back without a notice. */
-    fun take(worker: WorkerStandIn) = cloud.take(worker.id)
+    fun take(worker: SimulatedWorker) = cloud.take(worker.id)
 
     // ---- users
 
--- a/src/test/kotlin/io/otterknot/testing/NodeDispatcher.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedNodeDispatcher.kt
@@ -13,7 +13,7 @@
  * in a process that has used up its share of the processor: its clocks and everything around it go on.
  */
 @OptIn(InternalCoroutinesApi::class)
-class NodeDispatcher private constructor(
+class SimulatedNodeDispatcher private constructor(
     private val scope: CoroutineScope,
     private val dispatcher: CoroutineDispatcher,
     timers: Delay,
@@ -40,9 +40,9 @@
     }
 
     companion object {
-        fun of(scope: CoroutineScope): NodeDispatcher {
+        fun of(scope: CoroutineScope): SimulatedNodeDispatcher {
             val dispatcher = scope.coroutineContext[ContinuationInterceptor] as CoroutineDispatcher
-            return NodeDispatcher(scope, dispatcher, dispatcher as Delay)
+            return SimulatedNodeDispatcher(scope, dispatcher, dispatcher as Delay)
         }
     }
 }
--- a/src/test/kotlin/io/otterknot/testing/JobUsers.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedUsers.kt
@@ -22,12 +22,12 @@
 }
 
 /** Users behind a load balancer: they submit until they are accepted, poll until the end, and cancel. */
-class JobUsers(
+class SimulatedUsers(
     private val scope: CoroutineScope,
     private val random: Random,
     private val nowMs: () -> Long,
     private val nodes: List<String>,
-    private val rules: RuleChecks,
+    private val rules: SafetyChecks,
     private val ask: suspend (
         node: String,
         method: String,
--- a/src/test/kotlin/io/otterknot/testing/WorkerStandIn.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedWorker.kt
@@ -2,19 +2,19 @@
 
 import io.otterknot.http.HttpResponse
 import io.otterknot.wire.Command
-import io.otterknot.wire.Commands
-import io.otterknot.wire.Redirect
-import io.otterknot.wire.Report
-import io.otterknot.wire.TaskReport
+import io.otterknot.wire.Heartbeat
+import io.otterknot.wire.HeartbeatResponse
+import io.otterknot.wire.LeaderRedirect
+import io.otterknot.wire.TaskStatus
 import io.otterknot.wire.WireJson
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 
 /** A task that is on a machine in some attempt. */
-class HeldTask(val job: String, val attempt: Long)
+class SimulatedTask(val job: String, val attempt: Long)
 
 /** The worker of one machine: it reports, keeps its lease, and carries out what answers say. */
-class WorkerStandIn(private val cluster: ClusterStandIn, val id: String, val zone: String, val spot: Boolean) {
+class SimulatedWorker(private val cluster: SimulatedCluster, val id: String, val zone: String, val spot: Boolean) {
     private class Task(val job: String, val attempt: Long, var state: String, var cause: String?, var doneMs: Long) {
         val isOver: Boolean get() = state == "exited"
     }
@@ -61,10 +61,10 @@
     }
 
     /** Tasks that are on this machine: they have their image and have not exited. */
-    fun holding(): Map<String, HeldTask> {
+    fun holding(): Map<String, SimulatedTask> {
         expire()
         return tasks.filterValues { it.state == "running" }.entries
-            .associate { (key, task) -> name(key) to HeldTask(task.job, task.attempt) }
+            .associate { (key, task) -> name(key) to SimulatedTask(task.job, task.attempt) }
     }
 
     /** Tasks that it has not ended, with their image or without. */
@@ -108,10 +108,10 @@
         delay(500 + random.nextLong(600))
         if (nowMs() < hungUntilMs) return
         advance()
-        val shown = tasks.entries.map { (key, task) -> TaskReport(name(key), task.attempt, task.state, task.cause) }
-        val report = Report(id, "x", "big", zone, spot, session, ++seq, token, null, shown)
+        val shown = tasks.entries.map { (key, task) -> TaskStatus(name(key), task.attempt, task.state, task.cause) }
+        val report = Heartbeat(id, "x", "big", zone, spot, session, ++seq, token, null, shown)
         val sent = nowMs()
-        val response = send(WireJson.encodeToString(Report.serializer(), report).encodeToByteArray())
+        val response = send(WireJson.encodeToString(Heartbeat.serializer(), report).encodeToByteArray())
         if (nowMs() < hungUntilMs) delay(hungUntilMs - nowMs())
         // Whatever comes later than this is dropped, also by a machine that hung meanwhile.
         if (response?.status == 200 && nowMs() - sent <= ANSWER_MS) {
@@ -162,10 +162,10 @@
 
     private suspend fun report(to: String, body: ByteArray) = cluster.ask(to, "POST", "/v1/report", body, ANSWER_MS)
 
-    private fun take(response: HttpResponse, report: Report, sent: Long) {
+    private fun take(response: HttpResponse, report: Heartbeat, sent: Long) {
         advance()
         if (report.session != session) return
-        val commands = WireJson.decodeFromString(Commands.serializer(), response.body.decodeToString())
+        val commands = WireJson.decodeFromString(HeartbeatResponse.serializer(), response.body.decodeToString())
         if (commands.token < token) return
         token = commands.token
         answeredMs = sent
@@ -175,7 +175,7 @@
     /** Turns to the node that it is sent to, or to the next. */
     private suspend fun goOn(response: HttpResponse?) {
         val other = response?.takeIf { it.status == 421 }
-            ?.let { WireJson.decodeFromString(Redirect.serializer(), it.body.decodeToString()).reportTo }
+            ?.let { WireJson.decodeFromString(LeaderRedirect.serializer(), it.body.decodeToString()).reportTo }
         if (other == null || other == node) delay(1_000)
         val nodes = cluster.nodes
         node = other?.takeIf { it != node } ?: nodes[(nodes.indexOf(node) + 1) % nodes.size]
--- a/src/test/kotlin/io/otterknot/testing/StateBench.kt
+++ b/src/test/kotlin/io/otterknot/testing/StoreFixture.kt
@@ -3,16 +3,16 @@
 import io.otterknot.http.Transport
 import io.otterknot.jobs.Job
 import io.otterknot.jobs.JobTable
-import io.otterknot.metrics.Figures
-import io.otterknot.ratelimit.RateBudget
+import io.otterknot.metrics.Metrics
+import io.otterknot.ratelimit.RateLimiter
 import io.otterknot.records.JobRecord
-import io.otterknot.records.Keys
+import io.otterknot.records.StoreKeys
 import io.otterknot.records.encodeRecord
-import io.otterknot.store.Replica
+import io.otterknot.store.KeyValueStoreClient
 import io.otterknot.store.Snapshot
-import io.otterknot.store.StateClient
-import io.otterknot.wire.Change
+import io.otterknot.store.StoreReplica
 import io.otterknot.wire.JobSpec
+import io.otterknot.wire.KeyChange
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.test.TestScope
@@ -21,23 +21,23 @@
 
 /** A state service on virtual time, and one node's way to it; the node may make [changesPerS] changes a second. */
 @OptIn(ExperimentalCoroutinesApi::class)
-class StateBench(
+class StoreFixture(
     scope: TestScope,
     changesPerS: Double = 1_000.0,
-    transport: (StateStandIn) -> Transport = { it.link("n") },
+    transport: (FakeKeyValueStore) -> Transport = { it.link("n") },
 ) {
     val now: () -> Long = { scope.testScheduler.currentTime }
-    val state = StateStandIn(scope, Random(1), now)
-    val budget = RateBudget(1_000.0, changesPerS, now)
-    val client = StateClient(transport(state), state.link("n"), budget, Figures(now))
-    val replica = Replica(client, Random(1), now, pauseMs = 20)
+    val state = FakeKeyValueStore(scope, Random(1), now)
+    val budget = RateLimiter(1_000.0, changesPerS, now)
+    val client = KeyValueStoreClient(transport(state), state.link("n"), budget, Metrics(now))
+    val replica = StoreReplica(client, Random(1), now, pauseMs = 20)
 
     /** What the replica says of jobs, from now on. */
     fun readJobs(): JobTable {
         val jobs = JobTable()
         replica.onChange = { key, entry ->
-            if (key.startsWith(Keys.JOBS)) jobs.changeJob(key, entry)
-            if (key.startsWith(Keys.DONE)) jobs.changeDone(key, entry)
+            if (key.startsWith(StoreKeys.JOBS)) jobs.changeJob(key, entry)
+            if (key.startsWith(StoreKeys.DONE)) jobs.changeDone(key, entry)
         }
         return jobs
     }
@@ -45,7 +45,7 @@
 
 /** The replica now shows [record] under the job's key. */
 fun Job.take(record: JobRecord, version: Long = 1) {
-    stored = Snapshot(Keys.job(id), record, version)
+    stored = Snapshot(StoreKeys.job(id), record, version)
 }
 
 /** A job of [tasks] small tasks that run for a second. */
@@ -54,4 +54,4 @@
 
 /** Stores [record] under the key of the job [id]. */
 fun jobChange(id: String, record: JobRecord) =
-    Change(put = Keys.job(id), value = encodeRecord(JobRecord.serializer(), record))
+    KeyChange(put = StoreKeys.job(id), value = encodeRecord(JobRecord.serializer(), record))
--- a/src/test/kotlin/io/otterknot/wire/WireTest.kt
+++ b/src/test/kotlin/io/otterknot/wire/WireTest.kt
@@ -94,14 +94,14 @@
     fun `a bad field is named`(from: String, to: String?, field: String) {
         val bad = good.replace(from, to.orEmpty())
         assertTrue(bad != good)
-        val refused = assertThrows(Malformed::class.java) { parseSubmission(bad.encodeToByteArray()) }
+        val refused = assertThrows(MalformedMessageException::class.java) { parseSubmission(bad.encodeToByteArray()) }
         assertTrue(refused.message!!.contains(field), refused.message)
     }
 
     @ParameterizedTest
     @ValueSource(strings = ["", "{", "[]", "7", "null", "\"x\"", "{\"Uid\":}", "nonsense"])
     fun `what is no object is refused`(body: String) {
-        assertThrows(Malformed::class.java) { parseSubmission(body.encodeToByteArray()) }
+        assertThrows(MalformedMessageException::class.java) { parseSubmission(body.encodeToByteArray()) }
     }
 
     @ParameterizedTest
@@ -118,7 +118,7 @@
         ],
     )
     fun `a malformed report is refused`(body: String) {
-        assertThrows(Malformed::class.java) { parseReport(body.encodeToByteArray()) }
+        assertThrows(MalformedMessageException::class.java) { parseHeartbeat(body.encodeToByteArray()) }
     }
 
     @Test
@@ -157,7 +157,7 @@
             "a later version's message is no reason to hang up",
         )
         for (bad in listOf(byteArrayOf(2, 0), byteArrayOf(1, 1), byteArrayOf())) {
-            assertThrows(Malformed::class.java) { PeerCodec.decode(bad) }
+            assertThrows(MalformedMessageException::class.java) { PeerCodec.decode(bad) }
         }
     }
 }
