--- a/src/main/kotlin/io/otterknot/api/JobApi.kt
+++ b/src/main/kotlin/io/otterknot/api/JobApi.kt
@@ -61,7 +61,7 @@
         }
         val offered = types() ?: return later("the machine types are not known yet")
         impossible(spec, offered)?.let { return refuse(id, 422, it) }
-        if (!spec.awaits.isNullOrEmpty()) checkAwaited(spec)?.let { return it }
+        if (!spec.dependencies.isNullOrEmpty()) checkAwaited(spec)?.let { return it }
         return store(spec)
     }
 
@@ -69,13 +69,13 @@
     private suspend fun checkAwaited(spec: JobSpec): HttpResponse? {
         if (!replica.upToDate(BARRIER_MS)) return later(STATE_AWAY)
         jobs[spec.id]?.let { return tell(it, 200) }
-        val unknown = spec.awaits.orEmpty().firstOrNull { jobs[it] == null } ?: return null
+        val unknown = spec.dependencies.orEmpty().firstOrNull { jobs[it] == null } ?: return null
         return refuse(spec.id, 422, "Awaits names $unknown, which was never accepted")
     }
 
     /** Brings the job in. What the state service refuses for its size is sent again in smaller values, if it can be. */
     private suspend fun store(spec: JobSpec): HttpResponse {
-        val awaits = spec.awaits.orEmpty()
+        val awaits = spec.dependencies.orEmpty()
         val record = JobRecord(
             spec = spec,
             // What waits for others is nobody's load yet.
@@ -214,7 +214,7 @@
      */
     private fun accepted(spec: JobSpec): HttpResponse {
         jobs[spec.id]?.let { return tell(it, 201) }
-        val orphaned = spec.awaits.orEmpty().any { jobs[it]?.outcome == TerminalState.CANCELLED }
+        val orphaned = spec.dependencies.orEmpty().any { jobs[it]?.outcome == TerminalState.CANCELLED }
         return status(JobStatus(spec.id, if (orphaned) "aborted" else "queued"), 201)
     }
 
--- a/src/main/kotlin/io/otterknot/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/Autoscaler.kt
@@ -51,11 +51,11 @@
             settleOpen()
             for (zone in partitions.keys.toList()) {
                 val partition = partitions[zone] ?: continue
-                if (ownership.token(zone) != partition.token) continue
+                if (ownership.token(zone) != partition.fencingToken) continue
                 partition.machines.forEach { coming.remove(it.id) }
                 release(partition.hung(nowMs(), maxOf(HUNG_REPORTS * reportMs, HUNG_MS)), "hung")
                 returnUnreachable(partition)
-                partition.machines.forEach { it.retiring = false }
+                partition.machines.forEach { it.drainingForScaleIn = false }
                 val view = view(partition)
                 retire(partition, view)
                 returnIdle(partition)
@@ -85,7 +85,7 @@
         val rents = policy.rent(view, offered, zone) { (closedUntil[zone to it] ?: 0L) > now }
         for (rent in rents) {
             // The token makes the name new for every owner, the counter for every request of one owner.
-            val name = "$zone-${partition.token}-${++counter}"
+            val name = "$zone-${partition.fencingToken}-${++counter}"
             handle(ScaleOutRequest(name, rent.kind.type, zone, rent.kind.spot, rent.count.coerceIn(1, 50)))
         }
     }
@@ -127,7 +127,7 @@
         var ordinary = 0.0
         var total = 0.0
         for (machine in partition.machines) {
-            if (!machine.serving || machine.deaf) continue
+            if (!machine.inService || machine.losesResponses) continue
             total += machine.type.cores
             if (!machine.spot) ordinary += machine.type.cores
         }
@@ -161,12 +161,12 @@
      */
     private fun retire(partition: Partition, whole: ScalingInputs) {
         var view = whole
-        val candidates = partition.machines.filter { it.usable && nowMs() - it.firstSeenMs > KEEP_MS }
+        val candidates = partition.machines.filter { it.acceptsTasks && nowMs() - it.firstSeenMs > KEEP_MS }
             .sortedWith(compareBy<Machine> { it.spot }.thenBy { it.bookedShare() })
         var retiring = 0
         for (machine in candidates) {
             if (!policy.spares(view, machine.spot, machine.type.cores)) continue
-            machine.retiring = true
+            machine.drainingForScaleIn = true
             retiring++
             view = view.without(machine.spot, machine.type.cores)
         }
@@ -194,8 +194,8 @@
 
     private suspend fun returnIdle(partition: Partition) {
         val out = partition.machines.filter {
-            it.attempts.isEmpty() && !it.silent &&
-                (it.retiring || (it.draining && !it.noticed))
+            it.attempts.isEmpty() && !it.leaseExpired &&
+                (it.drainingForScaleIn || (it.draining && !it.hasSpotNotice))
         }
         if (out.isEmpty()) return
         out.forEach { it.draining = true }
@@ -224,7 +224,7 @@
             val silentZones = listedMachines.silentZones(listed)
             for (machine in listed) {
                 val partition = partitions[machine.zone] ?: continue
-                if (machine.id in gone || ownership.token(machine.zone) != partition.token) continue
+                if (machine.id in gone || ownership.token(machine.zone) != partition.fencingToken) continue
                 // When most machines of a zone are silent it is cut off: they come back with it, new ones would not.
                 if (machine.zone in silentZones && machine.state == "running") {
                     listedMachines.excuse(machine)
@@ -238,7 +238,7 @@
             // A machine that neither reports nor is listed has been taken.
             for (partition in partitions.values) {
                 partition.machines.filter {
-                    it.silent && it.id !in ids && now - it.heardMs > VANISHED_MS
+                    it.leaseExpired && it.id !in ids && now - it.lastHeartbeatMs > VANISHED_MS
                 }.forEach { partition.dismiss(it.id) }
             }
             release(useless, "failed, silent or never up")
--- a/src/main/kotlin/io/otterknot/autoscaling/CloudInventory.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/CloudInventory.kt
@@ -24,7 +24,7 @@
 
     /** Whether most machines that have reported in [partition] are silent now. */
     fun isCutOff(partition: Partition): Boolean =
-        partition.machines.size >= FEW && partition.machines.count { it.silent } * 2 > partition.machines.size
+        partition.machines.size >= FEW && partition.machines.count { it.leaseExpired } * 2 > partition.machines.size
 
     /** Nothing is held against [machine]. */
     fun excuse(machine: ListedMachine) {
@@ -35,7 +35,7 @@
     fun isUseless(machine: ListedMachine, partition: Partition, now: Long): Boolean {
         if (machine.state == "failed") return true
         val known = partition.machine(machine.id)
-        if (known != null && !known.silent) {
+        if (known != null && !known.leaseExpired) {
             excuse(machine)
             return false
         }
@@ -45,7 +45,7 @@
         return machine.ageS > maxOf(bootS * SLOW_BOOT, MIN_BOOT_S)
     }
 
-    private fun isHeard(machine: ListedMachine) = partitions[machine.zone]?.machine(machine.id)?.silent == false
+    private fun isHeard(machine: ListedMachine) = partitions[machine.zone]?.machine(machine.id)?.leaseExpired == false
 
     private companion object {
         const val SILENT_MS = 4_000L
--- a/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
+++ b/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
@@ -55,16 +55,17 @@
     }
 
     private fun changedChunks(partition: Partition): List<Chunk> = partition.jobs.filterNot {
-        it.unrecorded.isEmpty
+        it.unrecordedCompletions.isEmpty
     }.flatMap { job ->
-        val last = (job.unrecorded.length() - 1) / TaskBitmaps.chunkOf(job.spec.tasks)
+        val last = (job.unrecordedCompletions.length() - 1) / TaskBitmaps.chunkOf(job.spec.tasks)
         (0..last).map { Chunk(job, it) }
     }
 
-    private fun key(partition: Partition, number: Int) = StoreKeys.done(partition.zone, "${partition.token}-$number")
+    private fun key(partition: Partition, number: Int) =
+        StoreKeys.done(partition.zone, "${partition.fencingToken}-$number")
 
     private fun lastNumber(partition: Partition, keys: Set<String>): Int {
-        val prefix = StoreKeys.done(partition.zone, "${partition.token}-")
+        val prefix = StoreKeys.done(partition.zone, "${partition.fencingToken}-")
         return keys.filter { it.startsWith(prefix) }.maxOfOrNull { it.removePrefix(prefix).toInt() } ?: 0
     }
 
@@ -80,7 +81,7 @@
         /** Adds a job's completions unless that makes the segment too large; an empty one takes anything. */
         fun add(chunk: Chunk): Boolean {
             val entries = if (chunk.size == TaskBitmaps.CHUNK) bits else fineBits
-            val tasks = chunk.job.unrecorded.clone() as BitSet
+            val tasks = chunk.job.unrecordedCompletions.clone() as BitSet
             entries[chunk.name]?.let { TaskBitmaps.decodeInto(it, chunk.index, tasks, chunk.size) }
             val text = TaskBitmaps.encode(tasks, chunk.index, chunk.size)
             val replaced = entries[chunk.name]?.let { size(chunk.name, it) } ?: 0
--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -252,7 +252,7 @@
         override val teams get() = facts.teams
         override val liveJobs get() = jobs.live.values
         override val hasState get() = contact.sound
-        override fun mayActFor(partition: Partition) = ownership.token(partition.zone) == partition.token
+        override fun mayActFor(partition: Partition) = ownership.token(partition.zone) == partition.fencingToken
         override fun isOwned(zone: String) = ownership.ownerOf(zone) != null
         override fun offers(zone: String, spec: JobSpec) = catalog.offers(zone, spec)
     }
@@ -278,7 +278,7 @@
             val wallAhead = { wallMs() - nowMs() }
             val partition = Partition(
                 zone = zone,
-                token = token,
+                fencingToken = token,
                 claimedMs = nowMs(),
                 othersUntilMs = ownership.overrides.othersUntilMs(zone, claim.overriding),
                 times = LeaseTimings(leaseMs),
--- a/src/main/kotlin/io/otterknot/controller/PartitionStateWriter.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionStateWriter.kt
@@ -43,7 +43,7 @@
             if (!replica.loaded) continue
             for (partition in partitions.values.toList()) {
                 val guard = ownership.guard(partition.zone) ?: continue
-                if (guard.version != partition.token) continue
+                if (guard.version != partition.fencingToken) continue
                 writer.write(guard, writes(partition)) { ownership.superseded(partition.zone) }
             }
             finisher.finishAll()
--- a/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
@@ -26,11 +26,11 @@
         val zone = report.zone
         // The fence is asked after the report came in: an answer given now counts from a report sent earlier.
         val token = ownership.token(zone) ?: return elsewhere(report)
-        if (report.token > token) return lost(zone)
+        if (report.fencingToken > token) return lost(zone)
         // Claimed, but not everything written before the claim has been read yet: no commands, only the new token.
-        val partition = partitions[zone]?.takeIf { it.token == token } ?: return answer(token, emptyList())
+        val partition = partitions[zone]?.takeIf { it.fencingToken == token } ?: return answer(token, emptyList())
         return when (val decision = partition.report(report, nowMs())) {
-            is HeartbeatDecision.Answer -> answer(decision.token, decision.commands)
+            is HeartbeatDecision.Answer -> answer(decision.fencingToken, decision.commands)
             HeartbeatDecision.Superseded -> lost(zone)
             HeartbeatDecision.Stale -> HttpResponse.refusal(503, "a newer report came before this one")
         }
@@ -45,7 +45,7 @@
         val zone = report.zone
         val owner = ownership.ownerOf(zone)
         if (owner == null || owner == label) return HttpResponse.refusal(503, "nobody may act for $zone at the moment")
-        ownership.sentOn(zone, report.machine, report.token)
+        ownership.sentOn(zone, report.machine, report.fencingToken)
         if (ownership.doubtsOwner(
                 zone,
             )
--- a/src/main/kotlin/io/otterknot/jobs/DependencyGraph.kt
+++ b/src/main/kotlin/io/otterknot/jobs/DependencyGraph.kt
@@ -66,7 +66,7 @@
         if (waiting.dependencies.ids.isNotEmpty()) return
         val keys = waiting.record?.awaitKeys
         val ids = if (keys == null) {
-            waiting.spec?.awaits ?: return
+            waiting.spec?.dependencies ?: return
         } else {
             val read = pieces[waiting.id].orEmpty()
             if (read.size < keys) {
--- a/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
@@ -28,8 +28,8 @@
         val key = StoreKeys.job(spec.id)
         val whole = create(key, encode(record))
         if (limits.fits(whole)) return whole
-        val pieces = pieces(spec.awaits ?: return null, limits.valueBytes)
-        val main = create(key, encode(record.copy(spec = spec.copy(awaits = null), awaitKeys = pieces.size)))
+        val pieces = pieces(spec.dependencies ?: return null, limits.valueBytes)
+        val main = create(key, encode(record.copy(spec = spec.copy(dependencies = null), awaitKeys = pieces.size)))
         val lists = pieces.mapIndexed { number, piece ->
             create(StoreKeys.awaits(spec.id, number), encodeRecord(DependencySegmentRecord.serializer(), piece))
         }
--- a/src/main/kotlin/io/otterknot/leadership/FencedTransactions.kt
+++ b/src/main/kotlin/io/otterknot/leadership/FencedTransactions.kt
@@ -31,7 +31,7 @@
      * not know.
      */
     suspend fun settle(partition: Partition, change: CompareAndSwap): Settled {
-        val owner = VersionCondition(StoreKeys.partition(partition.zone), partition.token)
+        val owner = VersionCondition(StoreKeys.partition(partition.zone), partition.fencingToken)
         val owned = change.onlyWhile(owner)
         var unanswered = false
         while (partitions[partition.zone] === partition) {
--- a/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
+++ b/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
@@ -183,14 +183,14 @@
      * Gives a partition up so that the node that asks for it may claim it; it stops acting for it before anybody can.
      */
     suspend fun yieldTo(zone: String, others: Int) {
-        val token = tokens[zone] ?: return
+        val fencingToken = tokens[zone] ?: return
         if (tokens.size < others + TOO_MANY) return
         log.info("giving {} up to a node with less to do", zone)
         tokens.remove(zone)
         onLoss(zone)
         client.budget.take(1)
         // If this is lost, the key still shows this node's label, and this node claims the partition again.
-        client.txn(CompareAndSwap.remove(Snapshot(StoreKeys.partition(zone), zone, token)))
+        client.txn(CompareAndSwap.remove(Snapshot(StoreKeys.partition(zone), zone, fencingToken)))
         yieldedMs[zone] = nowMs()
     }
 
--- a/src/main/kotlin/io/otterknot/partition/AttemptLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/AttemptLedger.kt
@@ -38,14 +38,14 @@
         val machine = attempt.machine
         machine.attempts.remove(attempt.id)
         machine.unbook(held.spec)
-        if (attempt.halting) machine.freeing.add(held.spec, -1)
+        if (attempt.stopping) machine.beingFreed.add(held.spec, -1)
         if (held.active.get(attempt.task) === attempt) held.active.remove(attempt.task)
         teams.unbook(held.team, held.spec)
     }
 
     /** The task waits again, if it still belongs here and is nowhere. */
     fun requeue(job: PartitionJob, task: Int) {
-        if (job.over || !job.unheld(task)) return
+        if (job.finished || !job.isUnassigned(task)) return
         job.pending.set(task)
         waitingWork.touch(job)
         onWaiting()
@@ -59,7 +59,7 @@
     /** What was only booked has never been sent, so it is free at once; the rest is told to stop. */
     fun stop(attempt: Attempt) {
         if (attempt.phase != AttemptPhase.BOOKED) {
-            attempt.halt()
+            attempt.requestStop()
             return
         }
         release(attempt)
--- a/src/main/kotlin/io/otterknot/partition/HeartbeatHistory.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatHistory.kt
@@ -26,7 +26,7 @@
 
     /** Whether [report] is newer than all that is known of its machine. */
     fun isNews(report: Heartbeat): Boolean =
-        machines[report.machine]?.let { report.newerThan(it.session, it.seq) } ?: true
+        machines[report.machine]?.let { report.isNewerThan(it.session, it.seq) } ?: true
 
     private companion object {
         const val LEAST_KEPT = 4_096
--- a/src/main/kotlin/io/otterknot/partition/HeartbeatReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatReconciler.kt
@@ -28,10 +28,10 @@
     fun reconcile(machine: Machine, entry: TaskStatus, seq: Long, now: Long, commands: MutableList<Command>) {
         val exited = entry.state == TaskState.EXITED
         val known = machine.attempts.get(entry.attempt)
-        if (known != null && known.phase == AttemptPhase.SENT) machine.lostAnswers = 0
+        if (known != null && known.phase == AttemptPhase.SENT) machine.lostResponses = 0
         val number = known?.task ?: TaskName.parse(entry.task).number
         val held = known?.job ?: job(entry.task.substringBefore('/'))
-        if (held == null || (held.over && exited)) {
+        if (held == null || (held.finished && exited)) {
             // The job is over, or its task is none of ours.
             known?.let(attempts::release)
             commands.add(
@@ -49,7 +49,7 @@
             commands.add(Command.halt(entry.task, entry.attempt, 0.0))
             return
         }
-        attempt.shownSeq = seq
+        attempt.lastShownSequence = seq
         val phase = when (entry.state) {
             TaskState.FETCHING -> AttemptPhase.FETCHING
             TaskState.SAVING -> AttemptPhase.SAVING
@@ -58,13 +58,17 @@
         if (phase != attempt.phase) {
             if (phase == AttemptPhase.RUNNING) {
                 // Only of a task that was seen to fetch or to be sent is it known how long it has run.
-                attempt.ran = attempt.phase != AttemptPhase.SENT || attempt.started
-                if (attempt.phase == AttemptPhase.FETCHING) fetchTimes.fetched(machine, held.spec, now - attempt.since)
-                attempt.since = now
-                held.begun = true
+                attempt.seenRunning = attempt.phase != AttemptPhase.SENT || attempt.startSent
+                if (attempt.phase ==
+                    AttemptPhase.FETCHING
+                ) {
+                    fetchTimes.fetched(machine, held.spec, now - attempt.phaseSinceMs)
+                }
+                attempt.phaseSinceMs = now
+                held.hasStarted = true
             }
             if (phase == AttemptPhase.SAVING) attempt.savingSinceMs = now
-            machine.uses(held.spec)
+            machine.useImage(held.spec)
             attempt.phase = phase
         }
     }
@@ -83,9 +87,9 @@
             if (held.job.done.get(task)) {
                 commands.add(Command.forget(entry.task, entry.attempt))
             } else if (held.owned.get(task)) {
-                held.unrecorded.set(task)
+                held.unrecordedCompletions.set(task)
                 held.pending.clear(task)
-                held.doubtful.clear(task)
+                held.inDoubt.clear(task)
                 attempts.waitingChanged(held)
             }
             machine.failedJobs.clear()
@@ -112,7 +116,7 @@
                 log.warn("{}: {} on {} ended: {}", zone, entry.task, machine.id, entry.cause)
             }
             attempts.requeue(known)
-        } else if (held.unheld(task) && !held.doubtful.get(task)) {
+        } else if (held.isUnassigned(task) && !held.inDoubt.get(task)) {
             attempts.requeue(held, task)
         }
     }
@@ -121,7 +125,7 @@
     private fun adopt(machine: Machine, held: PartitionJob, task: Int, entry: TaskStatus, now: Long): Attempt? {
         // A report that was held back may show a task that has long been given up here and is leaving for another
         // partition: taken back, it would start in both.
-        if (!held.unheld(task)) {
+        if (!held.isUnassigned(task)) {
             log.warn(
                 "{}: {} shows {} (attempt {}), which it should not hold",
                 zone,
@@ -132,7 +136,7 @@
             return null
         }
         held.pending.clear(task)
-        held.doubtful.clear(task)
+        held.inDoubt.clear(task)
         return attempts.book(machine, held, task, entry.attempt, AttemptPhase.SENT, now)
     }
 
@@ -144,13 +148,13 @@
         var lost = false
         if (machine.attempts.isNotEmpty()) {
             for (attempt in machine.attempts.values.toList()) {
-                if (attempt.shownSeq == machine.seq || attempt.phase == AttemptPhase.BOOKED) continue
+                if (attempt.lastShownSequence == machine.lastSequence || attempt.phase == AttemptPhase.BOOKED) continue
                 lost = lost || attempt.phase == AttemptPhase.SENT
                 attempts.release(attempt)
                 attempts.requeue(attempt)
             }
         }
-        if (lost) machine.lostAnswers++
+        if (lost) machine.lostResponses++
     }
 
     /**
@@ -161,8 +165,8 @@
         for (attempt in machine.attempts.values.toList()) {
             if (attempt.phase == AttemptPhase.BOOKED) {
                 attempts.stop(attempt)
-            } else if (attempt.phase != AttemptPhase.SAVING && attempt.expectedMs(now) > noticeS * 1000) {
-                attempt.halt()
+            } else if (attempt.phase != AttemptPhase.SAVING && attempt.expectedRemainingMs(now) > noticeS * 1000) {
+                attempt.requestStop()
             }
         }
     }
@@ -171,12 +175,12 @@
     fun addCommands(machine: Machine, now: Long, commands: MutableList<Command>) {
         for (attempt in machine.attempts.values) {
             when {
-                attempt.halting && attempt.phase != AttemptPhase.BOOKED -> halt(attempt, now)?.let(commands::add)
+                attempt.stopping && attempt.phase != AttemptPhase.BOOKED -> halt(attempt, now)?.let(commands::add)
 
                 attempt.phase == AttemptPhase.BOOKED -> {
                     attempt.phase = AttemptPhase.SENT
-                    attempt.started = true
-                    attempt.since = now
+                    attempt.startSent = true
+                    attempt.phaseSinceMs = now
                     commands.add(Command.start(attempt.name, attempt.id))
                 }
             }
@@ -189,7 +193,7 @@
      */
     private fun halt(attempt: Attempt, now: Long): Command? {
         val spec = attempt.job.spec
-        if (spec.checkpointS <= 0 || attempt.job.over) return Command.halt(attempt.name, attempt.id, 0.0)
+        if (spec.checkpointS <= 0 || attempt.job.finished) return Command.halt(attempt.name, attempt.id, 0.0)
         val savingSince = attempt.savingSinceMs ?: return Command.halt(attempt.name, attempt.id, spec.saveS)
         val savesTooLong = now - savingSince > spec.saveS * 1000 * LONGEST_SAVE + SAVE_MARGIN_MS
         return if (savesTooLong) Command.halt(attempt.name, attempt.id, 0.0) else null
--- a/src/main/kotlin/io/otterknot/partition/MachineHealth.kt
+++ b/src/main/kotlin/io/otterknot/partition/MachineHealth.kt
@@ -33,10 +33,10 @@
         (withEndedJobs + quiet(now, afterMs, claimedMs)).toList()
 
     private fun quiet(now: Long, afterMs: Long, claimedMs: Long?): List<String> {
-        val talking = machines().filter { !it.silent }
-        val quiet = talking.filter { now - it.heardMs > afterMs }
+        val talking = machines().filter { !it.leaseExpired }
+        val quiet = talking.filter { now - it.lastHeartbeatMs > afterMs }
         if (talking.size < FEWEST_TALKING || quiet.size * 3 > talking.size) return emptyList()
-        val lively = talking.count { now - it.heardMs < afterMs / 2 }
+        val lively = talking.count { now - it.lastHeartbeatMs < afterMs / 2 }
         if (lively * 2 < talking.size) return emptyList()
         val holding = quiet.filter { it.attempts.isNotEmpty() || it.id in unreconciled }.map { it.id }
         if (claimedMs == null) return holding
@@ -55,7 +55,7 @@
     }
 
     /** Machines whose reports arrive while answers to them are lost again and again. */
-    fun unreachable(): List<String> = machines().filter { it.lostAnswers >= UNREACHABLE }.map { it.id }
+    fun unreachable(): List<String> = machines().filter { it.lostResponses >= UNREACHABLE }.map { it.id }
 
     private companion object {
         const val FEWEST_TALKING = 3
--- a/src/main/kotlin/io/otterknot/partition/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -21,7 +21,7 @@
 
 /** What to answer a worker's report with. */
 sealed interface HeartbeatDecision {
-    data class Answer(val token: Long, val commands: List<Command>) : HeartbeatDecision
+    data class Answer(val fencingToken: Long, val commands: List<Command>) : HeartbeatDecision
 
     /** The worker has seen a higher token: this owner is no longer entitled to its partition. */
     data object Superseded : HeartbeatDecision
@@ -54,7 +54,7 @@
  */
 class Partition(
     val zone: String,
-    val token: Long,
+    val fencingToken: Long,
     private val claimedMs: Long,
     /** Until when an earlier owner may have given answers to the machines. */
     val othersUntilMs: Long,
@@ -93,7 +93,7 @@
     val fetchTimes = FetchTimes()
 
     private val attempts: AttemptLedger =
-        AttemptLedger(token, teams, waitingWork) { scheduler.invalidate() }
+        AttemptLedger(fencingToken, teams, waitingWork) { scheduler.invalidate() }
 
     /** What the machines and jobs of this partition add up to. */
     val load = PartitionLoad({ machineList }, { jobList }, teams)
@@ -151,7 +151,7 @@
             held = PartitionJob(job, spec, teams.index(spec.team))
             jobByName.add(held)
         }
-        if (held.takeInherited()) scheduler.invalidate()
+        if (held.applyInheritedPriority()) scheduler.invalidate()
         val owned = BitSet()
         record.spans.forEach { if (it.zone == zone) owned.set(it.from, it.until) }
         val came = (owned.clone() as BitSet).apply {
@@ -161,10 +161,10 @@
         val left = (held.owned.clone() as BitSet).apply { andNot(owned) }
         held.owned.clear()
         held.owned.or(owned)
-        if (inherited && !settled) held.doubtful.or(came) else held.pending.or(came)
+        if (inherited && !settled) held.inDoubt.or(came) else held.pending.or(came)
         held.pending.andNot(left)
-        held.doubtful.andNot(left)
-        held.leaving.andNot(left)
+        held.inDoubt.andNot(left)
+        held.beingReassigned.andNot(left)
         waitingWork.touch(held)
         if (!came.isEmpty) scheduler.invalidate()
     }
@@ -174,9 +174,9 @@
         var left = if (held.spec.cores >
             0
         ) {
-            minOf(cores / held.spec.cores, held.waiting.toDouble()).toInt()
+            minOf(cores / held.spec.cores, held.pendingCount.toDouble()).toInt()
         } else {
-            held.waiting
+            held.pendingCount
         }
         val chosen = BitSet()
         var task = held.pending.length() - 1
@@ -186,7 +186,7 @@
             task = held.pending.previousSetBit(task - 1)
         }
         held.pending.andNot(chosen)
-        held.leaving.or(chosen)
+        held.beingReassigned.or(chosen)
         waitingWork.touch(held)
         return chosen
     }
@@ -195,10 +195,10 @@
     fun settleHandover(held: PartitionJob, tasks: BitSet) {
         val kept = (tasks.clone() as BitSet).apply {
             and(held.owned)
-            and(held.leaving)
+            and(held.beingReassigned)
         }
-        held.leaving.andNot(tasks)
-        if (held.over || kept.isEmpty) return
+        held.beingReassigned.andNot(tasks)
+        if (held.finished || kept.isEmpty) return
         held.pending.or(kept)
         waitingWork.touch(held)
         scheduler.invalidate()
@@ -207,22 +207,22 @@
     /** Completions became durable. */
     fun updateDone(job: Job) {
         val held = job(job.id) ?: return
-        held.unrecorded.andNot(job.done)
+        held.unrecordedCompletions.andNot(job.done)
         held.pending.andNot(job.done)
-        held.doubtful.andNot(job.done)
+        held.inDoubt.andNot(job.done)
         waitingWork.touch(held)
     }
 
     private fun drop(held: PartitionJob) {
-        held.over = true
+        held.finished = true
         held.pending.clear()
-        held.doubtful.clear()
+        held.inDoubt.clear()
         waitingWork.touch(held)
         jobByName.remove(held.id)
         scheduler.order.invalidate()
         for (attempt in held.active.values.toList()) {
             // What was only booked has never been sent, so it is free at once; the rest is told to stop.
-            if (attempt.phase == AttemptPhase.BOOKED) attempts.release(attempt) else attempt.halt()
+            if (attempt.phase == AttemptPhase.BOOKED) attempts.release(attempt) else attempt.requestStop()
         }
     }
 
@@ -247,7 +247,7 @@
     }
 
     /** Machines that report here and must be registered before they may get a task. */
-    fun unregistered(): List<Machine> = machineList.filter { it.reconciled && !it.registered && !it.silent }
+    fun unregistered(): List<Machine> = machineList.filter { it.reconciled && !it.registered && !it.leaseExpired }
 
     /** The types of machines that an earlier owner had registered and that have not been heard of yet. */
     fun unheard(): List<String> = if (settled) {
@@ -276,7 +276,7 @@
         health.forget(id)
         val machine = machine(id) ?: return
         attempts.releaseAll(machine)
-        lastSeen.note(id, machine.session, machine.seq)
+        lastSeen.note(id, machine.epoch, machine.lastSequence)
         machine.images.keys.forEach(imageCounts::removed)
         machineByName.remove(id)
     }
@@ -295,42 +295,42 @@
      */
     fun sweep(now: Long, slow: Boolean = false) {
         for (machine in machineList) {
-            if (!machine.silent && isLeaseOver(machine, now)) {
+            if (!machine.leaseExpired && isLeaseOver(machine, now)) {
                 val count = machine.attempts.size
                 log.info("{}: no report from {} within its lease; {} attempts are over", zone, machine.id, count)
-                machine.silent = true
+                machine.leaseExpired = true
                 machine.idle = false
-                val holdsEndedJobs = machine.attempts.values.any { it.job.over } || machine.id in withUnknownTasks
+                val holdsEndedJobs = machine.attempts.values.any { it.job.finished } || machine.id in withUnknownTasks
                 if (holdsEndedJobs) health.hangsWithEndedJobs(machine.id)
                 withUnknownTasks.remove(machine.id)
                 attempts.releaseAll(machine)
             }
-            if (slow) machine.lostAnswers = 0
-            if (!machine.silent) slowTasks.stopStragglers(machine, now)
+            if (slow) machine.lostResponses = 0
+            if (!machine.leaseExpired) slowTasks.stopStragglers(machine, now)
         }
         settle(now)
         scheduler.placeAll(now)
     }
 
     private fun isLeaseOver(machine: Machine, now: Long): Boolean =
-        now - machine.leaseFromMs > times.surelyOverMs && now - machine.heardMs > times.surelyOverMs
+        now - machine.leaseStartMs > times.surelyOverMs && now - machine.lastHeartbeatMs > times.surelyOverMs
 
     private fun settle(now: Long) {
         if (settled) return
         // An answer with the new token renews the lease of a machine that still holds an earlier owner's tasks. If it
         // then falls silent, its lease ends that much later than those of machines never heard of.
         unreconciled.removeIf { id ->
-            now - maxOf(othersUntilMs, machine(id)?.leaseFromMs ?: othersUntilMs) >
+            now - maxOf(othersUntilMs, machine(id)?.leaseStartMs ?: othersUntilMs) >
                 times.surelyOverMs
         }
         if (!unreconciled.empty) return
         settled = true
         var count = 0
         for (job in jobList) {
-            job.doubtful.andNot(job.job.done)
-            count += job.doubtful.cardinality()
-            job.pending.or(job.doubtful)
-            job.doubtful.clear()
+            job.inDoubt.andNot(job.job.done)
+            count += job.inDoubt.cardinality()
+            job.pending.or(job.inDoubt)
+            job.inDoubt.clear()
             waitingWork.touch(job)
         }
         scheduler.invalidate()
@@ -340,53 +340,53 @@
     // ---- reports ----------------------------------------------------------------------------------------------
 
     fun report(report: Heartbeat, now: Long): HeartbeatDecision {
-        if (report.token > token) return HeartbeatDecision.Superseded
-        val type = typeOf(report.type) ?: return HeartbeatDecision.Answer(token, emptyList())
+        if (report.fencingToken > fencingToken) return HeartbeatDecision.Superseded
+        val type = typeOf(report.type) ?: return HeartbeatDecision.Answer(fencingToken, emptyList())
         val known = machine(report.machine)
         // Packets may be held back and delivered late, and copies of them: only a newer report says anything, also of a
         // machine that has been let go.
-        val news = if (known != null) report.newerThan(known.session, known.seq) else lastSeen.isNews(report)
+        val news = if (known != null) report.isNewerThan(known.epoch, known.lastSequence) else lastSeen.isNews(report)
         if (!news) return HeartbeatDecision.Stale
         val machine = known ?: Machine(report.machine, type, report.spot, imageCounts).also {
             machineByName.add(it)
             it.registered = it.id in registered
             it.firstSeenMs = now
-            it.leaseFromMs = now
+            it.leaseStartMs = now
         }
-        if (report.session > machine.session) {
+        if (report.epoch > machine.epoch) {
             // The worker has killed and forgotten everything of its earlier sessions. If its reports came all the
             // while, it was the answers that did not.
-            if (known != null && now - machine.heardMs < times.leaseMs / 2) machine.lostAnswers += 2
+            if (known != null && now - machine.lastHeartbeatMs < times.leaseMs / 2) machine.lostResponses += 2
             attempts.releaseAll(machine)
-            machine.session = report.session
+            machine.epoch = report.epoch
         }
-        machine.seq = report.seq
-        machine.heardMs = now
-        machine.silent = false
+        machine.lastSequence = report.sequence
+        machine.lastHeartbeatMs = now
+        machine.leaseExpired = false
         health.forget(machine.id)
-        if (report.token < token) {
+        if (report.fencingToken < fencingToken) {
             unknowing(machine, known != null, now)
-            return HeartbeatDecision.Answer(token, emptyList())
+            return HeartbeatDecision.Answer(fencingToken, emptyList())
         }
-        machine.leaseFromMs = now
+        machine.leaseStartMs = now
         if (!machine.reconciled) {
             machine.reconciled = true
-            machine.lostAnswers = 0
+            machine.lostResponses = 0
         }
-        machine.noticed = report.noticeS != null
-        if (machine.noticed) machine.draining = true
+        machine.hasSpotNotice = report.spotNoticeS != null
+        if (machine.hasSpotNotice) machine.draining = true
         val commands = ArrayList<Command>()
-        for (entry in report.tasks) reconciler.reconcile(machine, entry, report.seq, now, commands)
+        for (entry in report.tasks) reconciler.reconcile(machine, entry, report.sequence, now, commands)
         reconciler.compareSent(machine)
         val strange = report.tasks.any { it.state != TaskState.EXITED && !machine.attempts.containsKey(it.attempt) }
         if (strange) withUnknownTasks.add(machine.id, machine.type.name) else withUnknownTasks.remove(machine.id)
-        machine.strange = strange
-        report.noticeS?.let { reconciler.leave(machine, it, now) }
+        machine.hasUnknownTasks = strange
+        report.spotNoticeS?.let { reconciler.leave(machine, it, now) }
         if (unreconciled.remove(machine.id)) settle(now)
-        machine.reported(machine.bookedShare(), machine.attempts.isEmpty() && machine.usable)
-        if (machine.deaf) probe(machine, now) else scheduler.placeOn(machine, now)
+        machine.reported(machine.bookedShare(), machine.attempts.isEmpty() && machine.acceptsTasks)
+        if (machine.losesResponses) probe(machine, now) else scheduler.placeOn(machine, now)
         reconciler.addCommands(machine, now, commands)
-        return HeartbeatDecision.Answer(token, commands)
+        return HeartbeatDecision.Answer(fencingToken, commands)
     }
 
     /**
@@ -397,20 +397,20 @@
      */
     private fun unknowing(machine: Machine, again: Boolean, now: Long) {
         machine.reconciled = false
-        if (again) machine.lostAnswers++
+        if (again) machine.lostResponses++
         if (now - othersUntilMs <=
             times.tooLateMs
         ) {
-            machine.leaseFromMs = now
+            machine.leaseStartMs = now
         } else if (unreconciled.remove(machine.id)) {
             settle(now)
         }
     }
 
     private fun probe(machine: Machine, now: Long) {
-        val idle = machine.attempts.isEmpty() && machine.reconciled && machine.registered && machine.serving
-        if (!idle || now - machine.probedMs < PROBE_MS) return
-        machine.probedMs = now
+        val idle = machine.attempts.isEmpty() && machine.reconciled && machine.registered && machine.inService
+        if (!idle || now - machine.lastProbeMs < PROBE_MS) return
+        machine.lastProbeMs = now
         scheduler.probe(machine, now)
     }
 
@@ -426,10 +426,13 @@
     fun startable(job: PartitionJob): Int {
         if (job.team < 0) return 0
         val spec = job.spec
-        var count = job.waiting
+        var count = job.pendingCount
         // Active tasks of this partition are all that can be in its zone, so half of the job's tasks may be active
         // here.
-        if (spec.spread) count = minOf(count, spec.perZoneLimit - job.active.size - job.doubtful.cardinality())
+        if (spec.spreadAcrossZones) {
+            count =
+                minOf(count, spec.maxTasksPerZone - job.active.size - job.inDoubt.cardinality())
+        }
         return teams.startable(job.team, spec, count)
     }
 
--- a/src/main/kotlin/io/otterknot/partition/StragglerDetector.kt
+++ b/src/main/kotlin/io/otterknot/partition/StragglerDetector.kt
@@ -15,8 +15,8 @@
 
     /** [attempt] has completed on [machine]. */
     fun completed(machine: Machine, attempt: Attempt, now: Long) {
-        if (!attempt.ran) return
-        val ms = now - attempt.since
+        if (!attempt.seenRunning) return
+        val ms = now - attempt.phaseSinceMs
         val ratio = attempt.job.runs.ratio(ms)
         attempt.job.runs.add(ms)
         meanRunMs = meanRunMs?.let { it + (ms - it) * MEAN_WEIGHT } ?: ms.toDouble()
@@ -29,16 +29,16 @@
      */
     fun stopStragglers(machine: Machine, now: Long) {
         for (attempt in machine.attempts.values) {
-            if (attempt.phase != AttemptPhase.RUNNING || attempt.halting || !attempt.ran) continue
+            if (attempt.phase != AttemptPhase.RUNNING || attempt.stopping || !attempt.seenRunning) continue
             val job = attempt.job
-            val ratio = job.runs.ratio(now - attempt.since) ?: continue
+            val ratio = job.runs.ratio(now - attempt.phaseSinceMs) ?: continue
             val limit = if (machine.slowness.slow) SLOW_MACHINE_RATIO else SINGLE_TASK_RATIO
-            val isEarly = now - attempt.since < LEAST_RUN_MS
+            val isEarly = now - attempt.phaseSinceMs < LEAST_RUN_MS
             if (ratio < limit || isEarly || job.restarted.get(attempt.task)) continue
             job.restarted.set(attempt.task)
             machine.avoid(job, now)
             log.debug("{}: {} on {} runs {} times as long as others", zone, attempt.name, machine.id, ratio)
-            attempt.halt()
+            attempt.requestStop()
             noteSlowness(machine, ratio)
         }
     }
--- a/src/main/kotlin/io/otterknot/partition/TeamQuotaLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/TeamQuotaLedger.kt
@@ -64,8 +64,8 @@
     fun startable(team: Int, spec: JobSpec, wanted: Int): Int {
         val left = left(team)
         var count = wanted
-        if (spec.cores > 0) count = minOf(count.toDouble(), (left.cores + Machine.EPS) / spec.cores).toInt()
-        if (spec.cards > 0) count = minOf(count.toDouble(), (left.cards + Machine.EPS) / spec.cards).toInt()
+        if (spec.cores > 0) count = minOf(count.toDouble(), (left.cores + Machine.EPSILON) / spec.cores).toInt()
+        if (spec.cards > 0) count = minOf(count.toDouble(), (left.cards + Machine.EPSILON) / spec.cards).toInt()
         return maxOf(0, count)
     }
 
@@ -98,11 +98,15 @@
 
     private fun waiting(team: Int, jobs: List<PartitionJob>) = jobs.filter { it.team == team && !it.pending.isEmpty }
 
-    private fun needed(waiting: List<PartitionJob>) =
-        QuotaAmount(waiting.sumOf { it.waiting * it.spec.cores }, waiting.sumOf { it.waiting * it.spec.cards })
+    private fun needed(waiting: List<PartitionJob>) = QuotaAmount(
+        waiting.sumOf {
+            it.pendingCount * it.spec.cores
+        },
+        waiting.sumOf { it.pendingCount * it.spec.cards },
+    )
 
     private fun QuotaAmount.covers(spec: JobSpec) =
-        spec.cores <= cores + Machine.EPS && spec.cards <= cards + Machine.EPS
+        spec.cores <= cores + Machine.EPSILON && spec.cards <= cards + Machine.EPSILON
 
     private fun QuotaAmount.atLeastZero() = QuotaAmount(maxOf(0.0, cores), maxOf(0.0, cards))
 }
--- a/src/main/kotlin/io/otterknot/partition/WaitingWork.kt
+++ b/src/main/kotlin/io/otterknot/partition/WaitingWork.kt
@@ -67,7 +67,7 @@
         if (job.team < 0) return
         val team = byTeam[job.team]
         val before = counted[job] ?: 0
-        val waiting = if (job.over) 0 else job.waiting
+        val waiting = if (job.finished) 0 else job.pendingCount
         if (waiting == before) return
         team.resources += Resources.of(job.spec) * (waiting - before).toDouble()
         if (waiting > 0) {
--- a/src/main/kotlin/io/otterknot/peer/IdlePartitionAnnouncer.kt
+++ b/src/main/kotlin/io/otterknot/peer/IdlePartitionAnnouncer.kt
@@ -30,12 +30,12 @@
     }
 
     private suspend fun consider(partition: Partition) {
-        val idle = partition.machines.count { it.idle && it.usable }
+        val idle = partition.machines.count { it.idle && it.acceptsTasks }
         val now = nowMs()
-        val known = announced[partition.zone]?.takeIf { it.token == partition.token }
+        val known = announced[partition.zone]?.takeIf { it.token == partition.fencingToken }
         if (idle == 0) {
             if (known != null &&
-                tell(known.to, PeerMessage.Withdraw(partition.zone, partition.token)) != null
+                tell(known.to, PeerMessage.Withdraw(partition.zone, partition.fencingToken)) != null
             ) {
                 announced.remove(partition.zone)
             }
@@ -44,7 +44,7 @@
         if (known != null) {
             // Telling the number as it falls keeps a burst from flooding the partition until it is withdrawn.
             if (known.idle == idle && now - known.atMs < RENEW_MS) return
-            if (tell(known.to, PeerMessage.Announce(partition.zone, partition.token, idle)) == null) {
+            if (tell(known.to, PeerMessage.Announce(partition.zone, partition.fencingToken, idle)) == null) {
                 announced.remove(partition.zone)
             } else {
                 known.idle = idle
@@ -53,8 +53,8 @@
             return
         }
         val listener = chooseListener(peers.keys.toList() + label, random) { tell(it, PeerMessage.Ask) } ?: return
-        if (tell(listener, PeerMessage.Announce(partition.zone, partition.token, idle)) != null) {
-            announced[partition.zone] = Announced(listener, partition.token, idle, now)
+        if (tell(listener, PeerMessage.Announce(partition.zone, partition.fencingToken, idle)) != null) {
+            announced[partition.zone] = Announced(listener, partition.fencingToken, idle, now)
         }
     }
 
--- a/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
+++ b/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
@@ -65,7 +65,7 @@
     }
 
     private suspend fun consider(partition: Partition, team: String) {
-        if (ownership.token(partition.zone) != partition.token || !partition.settled) return
+        if (ownership.token(partition.zone) != partition.fencingToken || !partition.settled) return
         val receiver = views.values.firstOrNull { it.zone != partition.zone && team in it.needs } ?: return
         val need = receiver.needs.getValue(team)
         val to = receiver.zone
--- a/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
@@ -31,15 +31,15 @@
     }
 
     private suspend fun give(partition: Partition) {
-        if (ownership.token(partition.zone) != partition.token || !partition.settled) return
+        if (ownership.token(partition.zone) != partition.fencingToken || !partition.settled) return
         var moves = 0
         var means = Means(partition)
         for (held in partition.waitingInOrder(nowMs())) {
             if (moves >= MOVES) return
             val spec = held.spec
-            if (held.over || spec.zone != null || held.pending.isEmpty) continue
+            if (held.finished || spec.zone != null || held.pending.isEmpty) continue
             // All of such a job is in one zone: it moves as a whole or not at all.
-            if (spec.oneZone && !held.allWaits) continue
+            if (spec.sameZone && !held.allTasksPending) continue
             val target = target(partition, spec) ?: return
             val gap = means.mean(spec) - target.meanFor(spec)
             val long = LongWait.mayMove((wallMs() - held.readyMs) / 1000.0, target.meanFor(spec))
@@ -47,8 +47,8 @@
             // Half of the gap, in cores of the smaller partition: both means then meet, and nothing swings back.
             val theirs = if (spec.spot) target.cores else target.ordinaryCores
             val amount = gap / 2 * minOf(maxOf(means.cores(spec), 1.0), maxOf(theirs, 1.0))
-            if (spec.oneZone && !long && held.waitingCores > amount * 2) continue
-            val tasks = partition.setAside(held, if (spec.oneZone) Double.MAX_VALUE else maxOf(amount, spec.cores))
+            if (spec.sameZone && !long && held.pendingCores > amount * 2) continue
+            val tasks = partition.setAside(held, if (spec.sameZone) Double.MAX_VALUE else maxOf(amount, spec.cores))
             if (tasks.isEmpty) continue
             moves++
             target.raise(spec, tasks.cardinality())
--- a/src/main/kotlin/io/otterknot/rebalance/HandOverPlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/HandOverPlanner.kt
@@ -42,7 +42,7 @@
         val arrivedS = job.arrivedS
         return when {
             job.spec.zone != null -> RefusalReason.BOUND_TO_ZONE
-            job.spec.oneZone && !job.allWaits -> RefusalReason.PARTLY_PLACED
+            job.spec.sameZone && !job.allWaits -> RefusalReason.PARTLY_PLACED
             arrivedS != null && arrivedS < settings.returnAfterS -> RefusalReason.JUST_ARRIVED
             else -> null
         }
@@ -64,9 +64,9 @@
         val (target, gainS) = best
         val reason = reason(job, target, gainS, snapshot) ?: return Choice.Refused(RefusalReason.GAIN_TOO_SMALL)
         val amount = amount(job, target, gainS, snapshot)
-        val isTooLarge = spec.oneZone && reason != MoveReason.OVERDUE && job.waitingCores > amount * 2
+        val isTooLarge = spec.sameZone && reason != MoveReason.OVERDUE && job.waitingCores > amount * 2
         if (isTooLarge) return Choice.Refused(RefusalReason.GAIN_TOO_SMALL)
-        val cores = if (spec.oneZone) job.waitingCores else minOf(job.waitingCores, maxOf(amount, spec.cores))
+        val cores = if (spec.sameZone) job.waitingCores else minOf(job.waitingCores, maxOf(amount, spec.cores))
         return Choice.Chosen(Move.HandOver(snapshot.zone, job.team, spec.id, reason, gainS, cores, target))
     }
 
--- a/src/main/kotlin/io/otterknot/rebalance/Mover.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/Mover.kt
@@ -38,7 +38,7 @@
     /** Begins to stop a task, if it still is where the plan saw it. */
     fun stop(move: Move.Stop, now: Long) {
         val attempt = partition.machine(move.machine)?.attempts?.get(move.attempt)
-        if (attempt == null || attempt.halting || !attempt.holds || !ownsPartition()) {
+        if (attempt == null || attempt.stopping || !attempt.occupiesMachine || !ownsPartition()) {
             journal.ended(move, MoveState.ABANDONED, MoveOutcome.TASK_GONE)
             return
         }
@@ -73,7 +73,7 @@
 
     private suspend fun handOver(move: Move.HandOver) {
         val job = partition.job(move.job)
-        if (job == null || job.over || !ownsPartition()) {
+        if (job == null || job.finished || !ownsPartition()) {
             journal.ended(move, MoveState.ABANDONED, MoveOutcome.TASK_GONE)
             return
         }
--- a/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
@@ -97,19 +97,19 @@
             state.isFinal -> Unit
             !ownsPartition -> abandon(MoveOutcome.OWNERSHIP_LOST)
             isCompleted() -> abandon(MoveOutcome.COMPLETED_FIRST)
-            job.over -> abandon(MoveOutcome.JOB_OVER)
+            job.finished -> abandon(MoveOutcome.JOB_OVER)
             state == MoveState.STOPPING -> lookWhetherStopped(now)
             state == MoveState.STOPPED -> lookWhetherPlaced(now)
         }
         return state != before
     }
 
-    private fun isCompleted() = job.unrecorded.get(move.task) || job.job.done.get(move.task)
+    private fun isCompleted() = job.unrecordedCompletions.get(move.task) || job.job.done.get(move.task)
 
     private fun lookWhetherStopped(now: Long) {
-        if (attempt.holds) return
+        if (attempt.occupiesMachine) return
         val machine = partition.machine(move.machine)
-        if (machine == null || machine.silent) outcome = MoveOutcome.MACHINE_LOST
+        if (machine == null || machine.leaseExpired) outcome = MoveOutcome.MACHINE_LOST
         state = MoveState.STOPPED
         stoppedMs = now
         lookWhetherPlaced(now)
--- a/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
@@ -64,11 +64,11 @@
     private fun waiting(partition: Partition, job: PartitionJob, history: MoveHistory, now: Long, wallMs: Long) =
         WaitingJob(
             spec = job.spec,
-            waiting = job.waiting,
-            startable = if (job.retryAtMs > now) 0 else minOf(job.waiting, maxOf(0, partition.startable(job))),
+            waiting = job.pendingCount,
+            startable = if (job.retryAtMs > now) 0 else minOf(job.pendingCount, maxOf(0, partition.startable(job))),
             covered = job.covered,
             waitedS = (wallMs - job.readyMs) / 1000.0,
-            allWaits = job.allWaits,
+            allWaits = job.allTasksPending,
             arrivedS = history.arrivedS(job.id, now),
         )
 
@@ -76,13 +76,13 @@
     private fun machines(partition: Partition, wantsRoom: Boolean): List<Machine> {
         val draining = if (settings.drains) partition.machines.filter(::isEmptied) else emptyList()
         if (!wantsRoom) return draining
-        val usable = partition.machines.filter { it.usable }
+        val usable = partition.machines.filter { it.acceptsTasks }
         return draining + sample(usable)
     }
 
     /** A machine under a notice is left to those that empty it within the time of the notice. */
     private fun isEmptied(machine: Machine): Boolean =
-        machine.draining && !machine.noticed && !machine.silent && machine.attempts.isNotEmpty()
+        machine.draining && !machine.hasSpotNotice && !machine.leaseExpired && machine.attempts.isNotEmpty()
 
     private fun sample(machines: List<Machine>): List<Machine> {
         if (machines.size <= settings.sampledMachines) return machines
@@ -115,9 +115,11 @@
             task = attempt.task,
             attempt = attempt.id,
             covered = job.covered,
-            elapsedS = if (runs) (now - attempt.since) / 1000.0 else 0.0,
-            remainingS = maxOf(0.0, attempt.expectedMs(now) / 1000),
-            isBusyOrKept = attempt.halting || attempt.kept || attempt.phase == AttemptPhase.SAVING || job.over,
+            elapsedS = if (runs) (now - attempt.phaseSinceMs) / 1000.0 else 0.0,
+            remainingS = maxOf(0.0, attempt.expectedRemainingMs(now) / 1000),
+            isBusyOrKept =
+            attempt.stopping || attempt.protectedFromPreemption || attempt.phase == AttemptPhase.SAVING ||
+                job.finished,
             coolsDown = history.coolsDown(job.id, attempt.task, now, cooldownMs),
         )
     }
--- a/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
@@ -59,11 +59,11 @@
         fun add(team: String, cause: WaitCause, tasks: Int) {
             if (tasks > 0) counts.getOrPut(team) { HashMap() }.merge(cause, tasks, Int::plus)
         }
-        val roomy = partition.machines.filter { it.serving && it.usedCores < it.type.cores }
+        val roomy = partition.machines.filter { it.inService && it.usedCores < it.type.cores }
         var examined = 0
         for (job in partition.jobs) {
-            add(job.spec.team, WaitCause.DOUBT, job.doubtful.cardinality())
-            add(job.spec.team, WaitCause.HANDOVER, job.leaving.cardinality())
+            add(job.spec.team, WaitCause.DOUBT, job.inDoubt.cardinality())
+            add(job.spec.team, WaitCause.HANDOVER, job.beingReassigned.cardinality())
             for (attempt in job.active.values) {
                 when (attempt.phase) {
                     AttemptPhase.BOOKED, AttemptPhase.SENT -> add(job.spec.team, WaitCause.REPORT, 1)
@@ -84,9 +84,9 @@
         cluster: ClusterPressure,
         now: Long,
     ): List<Pair<WaitCause, Int>> {
-        if (job.retryAtMs > now) return listOf(WaitCause.RETRY to job.waiting)
-        val startable = minOf(job.waiting, maxOf(0, partition.startable(job)))
-        val limited = WaitCause.LIMIT to job.waiting - startable
+        if (job.retryAtMs > now) return listOf(WaitCause.RETRY to job.pendingCount)
+        val startable = minOf(job.pendingCount, maxOf(0, partition.startable(job)))
+        val limited = WaitCause.LIMIT to job.pendingCount - startable
         return listOf(limited, withoutRoom(partition, job, roomy, cluster) to startable)
     }
 
@@ -97,7 +97,7 @@
         cluster: ClusterPressure,
     ): WaitCause {
         val spec = job.spec
-        if (roomy.any { it.allowed(spec) && it.roomFor(spec) }) return WaitCause.HELD_ROOM
+        if (roomy.any { it.isAllowedFor(spec) && it.hasRoomFor(spec) }) return WaitCause.HELD_ROOM
         val elsewhere = cluster.partitions.values.any { it.zone != partition.zone && it.meanFor(spec) < ROOMY }
         if (elsewhere && spec.zone == null) return WaitCause.ROOM_ELSEWHERE
         val isCrowdedOut = cluster.fairShares.any { (team, due) ->
--- a/src/main/kotlin/io/otterknot/scheduling/Machines.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Machines.kt
@@ -14,42 +14,43 @@
     val id: Long,
     val machine: Machine,
     var phase: AttemptPhase,
-    var since: Long,
+    var phaseSinceMs: Long,
 ) {
     /** Told to stop, or to be told with the next answer. */
-    var halting = false
+    var stopping = false
         private set
 
     /** Since when it saves its progress; null: it was not seen to save. */
     var savingSinceMs: Long? = null
 
     /** This owner sent its start. */
-    var started = false
+    var startSent = false
 
     /** Seen to begin to run, so that its run time is known. */
-    var ran = false
+    var seenRunning = false
 
     /** Begun before more urgent work so that its job begins at all: it is not stopped for such work. */
-    var kept = false
+    var protectedFromPreemption = false
 
     /** The report that last showed it. */
-    var shownSeq = -1L
+    var lastShownSequence = -1L
     val name: String get() = "${job.id}/$task"
-    val holds: Boolean get() = phase != AttemptPhase.EXITED
+    val occupiesMachine: Boolean get() = phase != AttemptPhase.EXITED
 
     /** How long it will run yet, by the job's tasks that have completed here, or else by its owner's estimate. */
-    fun expectedMs(now: Long): Double = job.expectedRunMs - (if (phase == AttemptPhase.RUNNING) now - since else 0)
+    fun expectedRemainingMs(now: Long): Double =
+        job.expectedRunMs - (if (phase == AttemptPhase.RUNNING) now - phaseSinceMs else 0)
 
-    fun halt() {
-        if (halting || !holds) return
-        halting = true
-        machine.freeing.add(job.spec)
+    fun requestStop() {
+        if (stopping || !occupiesMachine) return
+        stopping = true
+        machine.beingFreed.add(job.spec)
     }
 }
 
 class MutableResources(var cores: Double = 0.0, var memoryGb: Double = 0.0, var cards: Double = 0.0) {
-    fun covers(spec: JobSpec) = spec.cores <= cores + Machine.EPS && spec.memoryGb <= memoryGb + Machine.EPS &&
-        spec.cards <= cards + Machine.EPS
+    fun covers(spec: JobSpec) = spec.cores <= cores + Machine.EPSILON && spec.memoryGb <= memoryGb + Machine.EPSILON &&
+        spec.cards <= cards + Machine.EPSILON
 
     fun add(spec: JobSpec, times: Int = 1) {
         cores += spec.cores * times
@@ -78,22 +79,22 @@
     val spot: Boolean,
     private val imageCounts: ImageCounts = ImageCounts(),
 ) : PlacementTarget() {
-    var session = 0L
-    var seq = -1L
+    var epoch = 0L
+    var lastSequence = -1L
 
     /** Its last report showed this partition's token, so no older owner's command can reach it any more. */
     var reconciled = false
     var registered = false
     var draining = false
-    var noticed = false
+    var hasSpotNotice = false
 
     /** When the last new report came in. */
-    var heardMs = 0L
+    var lastHeartbeatMs = 0L
 
     /** The latest moment from which the machine's lease may count: no answer that it accepted is to a later report. */
-    var leaseFromMs = 0L
+    var leaseStartMs = 0L
     var firstSeenMs = 0L
-    var silent = false
+    var leaseExpired = false
     val attempts = Long2ObjectLinkedOpenHashMap<Attempt>()
 
     /** Images that it has or is fetching, with their sizes; the ones used longest ago first. */
@@ -113,19 +114,19 @@
      * Answers in a row that surely did not arrive, by what later reports show. A machine whose reports come while
      * answers are lost looks idle and would draw task after task.
      */
-    var lostAnswers = 0
+    var lostResponses = 0
 
     /** When a task last tried whether answers arrive. */
-    var probedMs = Long.MIN_VALUE / 2
+    var lastProbeMs = Long.MIN_VALUE / 2
 
     /** It gets nothing new until a later report proves that answers arrive: one task at a time tries that. */
-    val deaf: Boolean get() = lostAnswers >= DEAF
+    val losesResponses: Boolean get() = lostResponses >= DEAF
 
     /** It shows a task that is not booked: what room it has is not known. */
-    var strange = false
+    var hasUnknownTasks = false
 
     /** Uses an image. What the machine has no space for besides has been dropped there, the longest unused first. */
-    fun uses(spec: JobSpec) {
+    fun useImage(spec: JobSpec) {
         if (images.remove(spec.image) == null) imageCounts.added(spec.image)
         images[spec.image] = spec.imageGb
         var size = images.values.sum()
@@ -144,54 +145,54 @@
     var usedMemory = 0.0
 
     /** Not needed any more: takes no new task and goes back once it is empty, unless it is needed again before. */
-    var retiring = false
+    var drainingForScaleIn = false
 
     /** What is being freed here by stopping tasks. */
-    val freeing = MutableResources()
+    val beingFreed = MutableResources()
 
     /** What of this machine waiting tasks are to get, by their priority. */
-    private val held = Array(Priority.entries.size) { MutableResources() }
+    private val reservedFor = Array(Priority.entries.size) { MutableResources() }
 
-    fun held(priority: Priority): MutableResources = held[priority.ordinal]
+    fun held(priority: Priority): MutableResources = reservedFor[priority.ordinal]
 
     /** Partition of what this partition has to work with, whether or not it may get a task already. */
-    val serving: Boolean get() = !draining && !silent && !retiring
-    val usable: Boolean get() = reconciled && registered && serving && !deaf && !strange
+    val inService: Boolean get() = !draining && !leaseExpired && !drainingForScaleIn
+    val acceptsTasks: Boolean get() = reconciled && registered && inService && !losesResponses && !hasUnknownTasks
 
-    fun roomFor(spec: JobSpec): Boolean = usedCores + spec.cores <= type.cores + EPS &&
-        usedMemory + spec.memoryGb <= type.memoryGb + EPS &&
-        usedCards + spec.cards <= type.cards + EPS
+    fun hasRoomFor(spec: JobSpec): Boolean = usedCores + spec.cores <= type.cores + EPSILON &&
+        usedMemory + spec.memoryGb <= type.memoryGb + EPSILON &&
+        usedCards + spec.cards <= type.cards + EPSILON
 
     /** Room that is not meant for a task of a higher priority. */
-    fun spareFor(spec: JobSpec): Boolean {
-        if (!roomFor(spec)) return false
-        var cores = usedCores - freeing.cores + spec.cores
-        var memory = usedMemory - freeing.memoryGb + spec.memoryGb
-        var cards = usedCards - freeing.cards + spec.cards
+    fun hasUnreservedRoomFor(spec: JobSpec): Boolean {
+        if (!hasRoomFor(spec)) return false
+        var cores = usedCores - beingFreed.cores + spec.cores
+        var memory = usedMemory - beingFreed.memoryGb + spec.memoryGb
+        var cards = usedCards - beingFreed.cards + spec.cards
         for (higher in 0 until spec.priority.ordinal) {
-            cores += held[higher].cores
-            memory += held[higher].memoryGb
-            cards += held[higher].cards
+            cores += reservedFor[higher].cores
+            memory += reservedFor[higher].memoryGb
+            cards += reservedFor[higher].cards
         }
-        return cores <= type.cores + EPS && memory <= type.memoryGb + EPS && cards <= type.cards + EPS
+        return cores <= type.cores + EPSILON && memory <= type.memoryGb + EPSILON && cards <= type.cards + EPSILON
     }
 
     /** What is free or being freed and not held for anybody of [priority] or a higher one. */
-    fun openRoom(priority: Priority): MutableResources {
+    fun unreservedRoom(priority: Priority): MutableResources {
         val open = MutableResources(
-            type.cores - usedCores + freeing.cores,
-            type.memoryGb - usedMemory + freeing.memoryGb,
-            type.cards - usedCards + freeing.cards,
+            type.cores - usedCores + beingFreed.cores,
+            type.memoryGb - usedMemory + beingFreed.memoryGb,
+            type.cards - usedCards + beingFreed.cards,
         )
         for (level in 0..priority.ordinal) {
-            open.cores -= held[level].cores
-            open.memoryGb -= held[level].memoryGb
-            open.cards -= held[level].cards
+            open.cores -= reservedFor[level].cores
+            open.memoryGb -= reservedFor[level].memoryGb
+            open.cards -= reservedFor[level].cards
         }
         return open
     }
 
-    fun allowed(spec: JobSpec): Boolean = (spec.spot || !spot) && (spec.types == null || type.name in spec.types)
+    fun isAllowedFor(spec: JobSpec): Boolean = (spec.spot || !spot) && (spec.types == null || type.name in spec.types)
 
     fun book(spec: JobSpec) {
         usedCores += spec.cores
@@ -216,7 +217,7 @@
 
     companion object {
         const val AVOID_MS = 15_000L
-        const val EPS = 1e-6
+        const val EPSILON = 1e-6
         private const val DEAF = 2
     }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
@@ -54,7 +54,7 @@
      */
     fun deal(spec: JobSpec, partitions: List<PartitionView>, random: Random): List<TaskSpan> {
         val open = if (spec.zone == null) partitions else partitions.filter { it.zone == spec.zone }
-        if (spec.oneZone || open.size == 1) {
+        if (spec.sameZone || open.size == 1) {
             val partition = choose(open, spec, random)
             partition.raise(spec, spec.tasks)
             return listOf(TaskSpan(partition.zone, 0, spec.tasks))
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
@@ -22,7 +22,7 @@
     val inheritedDueMs: Long? get() = job.dependencies.inheritedDueMs
 
     /** Takes the priority that the jobs which need it lend it now; whether that is another than before. */
-    fun takeInherited(): Boolean {
+    fun applyInheritedPriority(): Boolean {
         val own = job.spec ?: return false
         val priority = minOf(own.priority, job.dependencies.inheritedPriority ?: own.priority)
         if (priority == spec.priority) return false
@@ -36,21 +36,21 @@
     val pending = BitSet()
 
     /** A machine that has not shown this owner's token yet may hold it. */
-    val doubtful = BitSet()
+    val inDoubt = BitSet()
 
     /** Leaving for another partition in a transaction whose outcome is not known yet; never started here meanwhile. */
-    val leaving = BitSet()
+    val beingReassigned = BitSet()
 
     /** Reported as completed, not yet durable. */
-    val unrecorded = BitSet()
+    val unrecordedCompletions = BitSet()
     val active = Int2ObjectOpenHashMap<Attempt>()
-    var over = false
+    var finished = false
     var retryAtMs = 0L
     var failures = 0
 
     /** A task of it has run, as far as this partition knows. */
-    var begun = false
-    val unbegun: Boolean get() = !begun && active.isEmpty() && job.done.isEmpty
+    var hasStarted = false
+    val neverStarted: Boolean get() = !hasStarted && active.isEmpty() && job.done.isEmpty
 
     /**
      * It fits into its team's guarantee together with the team's more urgent and earlier jobs, so it need not wait for
@@ -80,7 +80,7 @@
     val restarted = BitSet()
 
     /** What [SchedulingQueue] compares, as of its last look. */
-    var missedAims = 0
+    var missedObjectives = 0
     var rank = 0
     var workLeft = 0.0
 
@@ -93,15 +93,16 @@
     /**
      * Ours and on no machine that we know of, not completed and not leaving: it may wait here, if it is not in doubt.
      */
-    fun unheld(task: Int): Boolean =
-        owned.get(task) && !leaving.get(task) && !active.containsKey(task) && !unrecorded.get(task) &&
-            !job.done.get(task)
+    fun isUnassigned(task: Int): Boolean = owned.get(
+        task,
+    ) && !beingReassigned.get(task) && !active.containsKey(task) && !unrecordedCompletions.get(task) &&
+        !job.done.get(task)
 
     /** Every task of the job that is not done waits here, and none is on a machine or may be. */
-    val allWaits: Boolean get() =
-        active.isEmpty() && doubtful.isEmpty && leaving.isEmpty && unrecorded.isEmpty &&
+    val allTasksPending: Boolean get() =
+        active.isEmpty() && inDoubt.isEmpty && beingReassigned.isEmpty && unrecordedCompletions.isEmpty &&
             pending.cardinality() == spec.tasks - job.done.cardinality()
 
-    val waitingCores: Double get() = (waiting + doubtful.cardinality()) * spec.cores
-    val waiting: Int get() = pending.cardinality()
+    val pendingCores: Double get() = (pendingCount + inDoubt.cardinality()) * spec.cores
+    val pendingCount: Int get() = pending.cardinality()
 }
--- a/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
@@ -34,13 +34,13 @@
             var left = startable(job)
             if (left <= 0) continue
             // Machines that have the image first.
-            val possible = machines.filter { it.allowed(spec) && !it.avoids(job.id, now) }.sortedBy {
+            val possible = machines.filter { it.isAllowedFor(spec) && !it.avoids(job.id, now) }.sortedBy {
                 spec.image !in
                     it.images
             }
             for (machine in possible) {
                 if (left == 0) break
-                val open = machine.openRoom(priority)
+                val open = machine.unreservedRoom(priority)
                 while (left > 0 && open.covers(spec)) {
                     open.add(spec, -1)
                     machine.held(priority).add(spec)
@@ -71,8 +71,10 @@
     ): Option? {
         val spec = job.spec
         val lesser = stoppable.getOrPut(machine) {
-            machine.attempts.values.filter { it.job.spec.priority > spec.priority && !it.kept }.sortedBy {
-                if (it.job.missedAims >
+            machine.attempts.values.filter {
+                it.job.spec.priority > spec.priority && !it.protectedFromPreemption
+            }.sortedBy {
+                if (it.job.missedObjectives >
                     0
                 ) {
                     lostWork(it, now)
@@ -82,10 +84,10 @@
             }
         }
         if (lesser.isEmpty()) return null
-        val open = machine.openRoom(spec.priority)
+        val open = machine.unreservedRoom(spec.priority)
         val victims = ArrayList<Attempt>()
         for (attempt in lesser) {
-            if (attempt.halting || !attempt.holds) continue
+            if (attempt.stopping || !attempt.occupiesMachine) continue
             if (attempt.job.covered && !mayStopCovered(job, now)) continue
             open.add(attempt.job.spec)
             victims.add(attempt)
@@ -117,8 +119,13 @@
     }
 
     /** Core-seconds that stopping an attempt throws away. */
-    private fun lostWork(attempt: Attempt, now: Long): Double =
-        if (attempt.phase == AttemptPhase.RUNNING) (now - attempt.since) / 1000.0 * attempt.job.spec.cores else 0.0
+    private fun lostWork(attempt: Attempt, now: Long): Double = if (attempt.phase ==
+        AttemptPhase.RUNNING
+    ) {
+        (now - attempt.phaseSinceMs) / 1000.0 * attempt.job.spec.cores
+    } else {
+        0.0
+    }
 
     private companion object {
         /** How much dearer it is to stop a task of a job that may still meet its aims: one late task makes it late. */
--- a/src/main/kotlin/io/otterknot/scheduling/Resources.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Resources.kt
@@ -12,8 +12,8 @@
 
     operator fun times(factor: Double) = Resources(cores * factor, memoryGb * factor, cards * factor)
 
-    fun covers(other: Resources): Boolean = other.cores <= cores + Machine.EPS &&
-        other.memoryGb <= memoryGb + Machine.EPS && other.cards <= cards + Machine.EPS
+    fun covers(other: Resources): Boolean = other.cores <= cores + Machine.EPSILON &&
+        other.memoryGb <= memoryGb + Machine.EPSILON && other.cards <= cards + Machine.EPSILON
 
     /** The share of [total] of whichever of the three this takes most of; what there is none of does not count. */
     fun dominantShare(total: Resources): Double =
--- a/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
@@ -54,7 +54,7 @@
 ) {
     val order = SchedulingQueue(aims, wallOf)
     private val roomMaker = Preemptor(
-        startable = { minOf(it.waiting, ledger.startable(it)) },
+        startable = { minOf(it.pendingCount, ledger.startable(it)) },
         patient = { wallOf(passMs) - it.readyMs < aims.patienceMs(it.spec) },
         stop = ledger::stop,
     )
@@ -75,7 +75,7 @@
     fun placeOn(machine: Machine, now: Long) {
         if (dirty || now - passMs >= PASS_MS) return placeAll(now)
         order.refresh(ledger.jobs, now)
-        if (!machine.usable || order.empty || !open(machine)) return
+        if (!machine.acceptsTasks || order.empty || !open(machine)) return
         place(now, machine)
     }
 
@@ -105,20 +105,22 @@
     }
 
     /** It has room for the least that waits. */
-    private fun open(machine: Machine) = machine.usedCores + order.leastCores <= machine.type.cores + Machine.EPS
+    private fun open(machine: Machine) = machine.usedCores + order.leastCores <= machine.type.cores + Machine.EPSILON
 
     private fun place(now: Long, only: Machine?) {
-        val usable = if (only != null) listOf(only) else ledger.machines.filter { it.usable }
+        val usable = if (only != null) listOf(only) else ledger.machines.filter { it.acceptsTasks }
         // When more is asked than can be done most machines are full, and each waiting job would look at all of them.
         val open = usable.filter(::open)
         // Without this, the work of one pass would decide on the candidates of another.
         if (only == null) ledger.jobs.forEach { it.candidates = null }
         for (job in order.overdue) {
-            if (!job.unbegun || !mayStart(job, now)) continue
+            if (!job.neverStarted || !mayStart(job, now)) continue
             // Room that is held for more urgent work does not count here, or the job would wait behind it for ever.
-            val fitting = open.filter { it.allowed(job.spec) && it.roomFor(job.spec) && !it.avoids(job.id, now) }
+            val fitting = open.filter {
+                it.isAllowedFor(job.spec) && it.hasRoomFor(job.spec) && !it.avoids(job.id, now)
+            }
             val machine = JobCandidates(fitting, job.spec, ordinaryWork) { true }.choose(random, job.spec) ?: continue
-            ledger.book(job, machine, now).kept = true
+            ledger.book(job, machine, now).protectedFromPreemption = true
         }
         // Work within a team's guarantee need not wait for other teams.
         if (order.coveredBeforeAll) {
@@ -174,10 +176,10 @@
         !job.pending.isEmpty && job.retryAtMs <= now && ledger.startable(job) > 0
 
     private fun fits(job: PartitionJob, machine: Machine, now: Long) =
-        machine.allowed(job.spec) && hasRoom(job, machine) && !machine.avoids(job.id, now)
+        machine.isAllowedFor(job.spec) && hasRoom(job, machine) && !machine.avoids(job.id, now)
 
     private fun hasRoom(job: PartitionJob, machine: Machine): Boolean =
-        if (order.ignoresHeldRoom(job)) machine.roomFor(job.spec) else machine.spareFor(job.spec)
+        if (order.ignoresHeldRoom(job)) machine.hasRoomFor(job.spec) else machine.hasUnreservedRoomFor(job.spec)
 
     private fun placeOne(job: PartitionJob, open: List<Machine>, only: Machine?, now: Long): Attempt? {
         val machine = if (only != null) {
--- a/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
@@ -80,7 +80,7 @@
         queues.forEach { it.clear() }
         for (job in sorted(jobs, now)) {
             leastCores = minOf(leastCores, job.spec.cores)
-            if (job.unbegun && wallOf(now) - job.readyMs > BEGIN_MS) overdue.add(job)
+            if (job.neverStarted && wallOf(now) - job.readyMs > BEGIN_MS) overdue.add(job)
             add(job, queues)
             if (job.covered) {
                 add(job, coveredQueues)
@@ -101,8 +101,8 @@
         val waiting = ArrayList<PartitionJob>()
         for (job in jobs) {
             if (job.pending.isEmpty) continue
-            job.missedAims = aims.missed(job, wall)
-            job.rank = rank(job.missedAims, aims.slackS(job, wall))
+            job.missedObjectives = aims.missed(job, wall)
+            job.rank = rank(job.missedObjectives, aims.slackS(job, wall))
             job.workLeft = job.remainingWork
             waiting.add(job)
         }
--- a/src/main/kotlin/io/otterknot/scheduling/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/ServiceLevelObjectives.kt
@@ -49,7 +49,7 @@
      */
     private fun latestStarts(job: PartitionJob): List<Double> {
         val likely = job.spec.estimateS * LIKELY
-        val own = byKind[job.spec.kind].orEmpty().map { aim ->
+        val own = byKind[job.spec.jobClass].orEmpty().map { aim ->
             when (aim) {
                 is ServiceLevelObjective.Started -> job.readyMs + aim.withinS * 1000
 
@@ -72,7 +72,7 @@
      */
     fun patienceMs(spec: JobSpec): Long {
         val tightest =
-            byKind[spec.kind].orEmpty().filterIsInstance<ServiceLevelObjective.Started>().minOfOrNull { it.withinS }
+            byKind[spec.jobClass].orEmpty().filterIsInstance<ServiceLevelObjective.Started>().minOfOrNull { it.withinS }
                 ?: DEFAULT_WAIT_S
         return (tightest * PATIENCE * 1000).toLong()
     }
@@ -82,7 +82,7 @@
      * advance. 0 where they may wait for a boot.
      */
     fun readyShare(spec: JobSpec, bootS: Double): Double =
-        byKind[spec.kind].orEmpty().filterIsInstance<ServiceLevelObjective.Started>().filter {
+        byKind[spec.jobClass].orEmpty().filterIsInstance<ServiceLevelObjective.Started>().filter {
             it.withinS < bootS
         }.maxOfOrNull { it.share }
             ?: 0.0
--- a/src/main/kotlin/io/otterknot/wire/Jobs.kt
+++ b/src/main/kotlin/io/otterknot/wire/Jobs.kt
@@ -34,7 +34,7 @@
 @Serializable
 data class JobSpec(
     @SerialName("Uid") val id: String,
-    @SerialName("Ilk") val kind: String,
+    @SerialName("Ilk") val jobClass: String,
     @SerialName("Crew") val team: String,
     @SerialName("Rank") val priority: Priority,
     @SerialName("Chores") val tasks: Int,
@@ -45,18 +45,18 @@
     @SerialName("SizeGb") val imageGb: Double,
     @SerialName("Breeds") val types: List<String>? = null,
     @SerialName("Reach") val zone: String? = null,
-    @SerialName("SamePlace") val oneZone: Boolean = false,
-    @SerialName("Scatter") val spread: Boolean = false,
+    @SerialName("SamePlace") val sameZone: Boolean = false,
+    @SerialName("Scatter") val spreadAcrossZones: Boolean = false,
     @SerialName("Driftwood") val spot: Boolean = false,
     @SerialName("GuessS") val estimateS: Double,
     @SerialName("CacheS") val checkpointS: Double = 0.0,
     @SerialName("StashS") val saveS: Double = 0.0,
     @SerialName("DueS") val dueS: Double? = null,
     /** Jobs that must be done before any task of this one starts; each once. */
-    @SerialName("Awaits") val awaits: List<String>? = null,
+    @SerialName("Awaits") val dependencies: List<String>? = null,
 ) {
     /** With `Scatter`, the most tasks that may be in one zone at a time. */
-    val perZoneLimit: Int get() = if (spread) (tasks + 1) / 2 else tasks
+    val maxTasksPerZone: Int get() = if (spreadAcrossZones) (tasks + 1) / 2 else tasks
 }
 
 const val MAX_TASKS = 100_000
@@ -81,7 +81,7 @@
     if (fields.text("Sort") != "sweep") throw MalformedMessageException("Sort is unknown")
     return JobSpec(
         id = id,
-        kind = fields.text("Ilk"),
+        jobClass = fields.text("Ilk"),
         team = fields.text("Crew"),
         priority = Priority.byWire[fields.text("Rank")] ?: throw MalformedMessageException("Rank is unknown"),
         tasks = fields.count("Chores", 1, MAX_TASKS),
@@ -92,14 +92,14 @@
         imageGb = fields.amount("SizeGb"),
         types = fields.names("Breeds"),
         zone = fields.optionalText("Reach"),
-        oneZone = fields.flag("SamePlace"),
-        spread = fields.flag("Scatter"),
+        sameZone = fields.flag("SamePlace"),
+        spreadAcrossZones = fields.flag("Scatter"),
         spot = fields.flag("Driftwood"),
         estimateS = fields.amount("GuessS"),
         checkpointS = fields.amount("CacheS"),
         saveS = fields.amount("StashS"),
         dueS = fields.optionalAmount("DueS"),
-        awaits = fields.names("Awaits")?.distinct()?.onEach {
+        dependencies = fields.names("Awaits")?.distinct()?.onEach {
             if (!isJobId(it)) throw MalformedMessageException("Awaits names $it, which is not of the form j-000412")
         }?.ifEmpty { null },
     )
--- a/src/main/kotlin/io/otterknot/wire/State.kt
+++ b/src/main/kotlin/io/otterknot/wire/State.kt
@@ -35,7 +35,7 @@
 
 @Serializable
 data class TransactionRequest(
-    @SerialName("Guards") val guards: List<VersionCondition>,
+    @SerialName("Guards") val conditions: List<VersionCondition>,
     @SerialName("Then") val changes: List<KeyChange>,
 )
 
--- a/src/main/kotlin/io/otterknot/wire/Workers.kt
+++ b/src/main/kotlin/io/otterknot/wire/Workers.kt
@@ -6,21 +6,23 @@
 
 /** The report of a worker: the machine, its session and every task on it. */
 @Serializable
+// The name stands in the text of a refusal, which is part of the wire format.
+@SerialName("io.otterknot.wire.Report")
 data class Heartbeat(
     @SerialName("Holt") val machine: String,
     @SerialName("Endpoint") val endpoint: String = "",
     @SerialName("Breed") val type: String,
     @SerialName("Reach") val zone: String,
     @SerialName("Driftwood") val spot: Boolean = false,
-    @SerialName("Dive") val session: Long,
-    @SerialName("Ripple") val seq: Long,
-    @SerialName("Warrant") val token: Long = 0,
-    @SerialName("WarningS") val noticeS: Double? = null,
+    @SerialName("Dive") val epoch: Long,
+    @SerialName("Ripple") val sequence: Long,
+    @SerialName("Warrant") val fencingToken: Long = 0,
+    @SerialName("WarningS") val spotNoticeS: Double? = null,
     @SerialName("Chores") val tasks: List<TaskStatus> = emptyList(),
 ) {
     /** The message with the larger session and number is the newer one. */
-    fun newerThan(otherSession: Long, otherSeq: Long): Boolean =
-        session > otherSession || (session == otherSession && seq > otherSeq)
+    fun isNewerThan(otherSession: Long, otherSeq: Long): Boolean =
+        epoch > otherSession || (epoch == otherSession && sequence > otherSeq)
 }
 
 @Serializable
@@ -47,10 +49,13 @@
 }
 
 @Serializable
-data class HeartbeatResponse(@SerialName("Warrant") val token: Long, @SerialName("Calls") val commands: List<Command>)
+data class HeartbeatResponse(
+    @SerialName("Warrant") val fencingToken: Long,
+    @SerialName("Calls") val commands: List<Command>,
+)
 
 @Serializable
-data class LeaderRedirect(@SerialName("AnswerTo") val reportTo: String? = null)
+data class LeaderRedirect(@SerialName("AnswerTo") val leader: String? = null)
 
 /** A task's name on the wire is its job's id and its number. */
 data class TaskName(val job: String, val number: Int) {
@@ -87,7 +92,7 @@
     } catch (e: IllegalArgumentException) {
         throw MalformedMessageException("not a report")
     }
-    if (report.machine.isEmpty() || report.session < 1 || report.seq < 0 || report.token < 0) {
+    if (report.machine.isEmpty() || report.epoch < 1 || report.sequence < 0 || report.fencingToken < 0) {
         throw MalformedMessageException("Holt, Dive, Ripple or Warrant out of range")
     }
     for (task in report.tasks) {
--- a/src/test/kotlin/io/otterknot/cluster/AnswerMonotonicityTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/AnswerMonotonicityTest.kt
@@ -70,7 +70,7 @@
             for (id in 1..JOBS) {
                 val tasks = if (random.nextInt(10) == 0) 3 else 1
                 val awaited = if (id % 7 == 0) submitted.takeLast(6).shuffled(random).take(2).map { it.id } else null
-                val spec = spec(1_000 + id, tasks, 0.4 + random.nextDouble(3.0)).copy(awaits = awaited)
+                val spec = spec(1_000 + id, tasks, 0.4 + random.nextDouble(3.0)).copy(dependencies = awaited)
                 submitted.add(spec)
                 user(spec, if (id % 4 == 0) random.nextLong(5_000) else null)
                 // What awaits others may only be submitted once those are accepted.
--- a/src/test/kotlin/io/otterknot/cluster/CombinedFailureTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/CombinedFailureTest.kt
@@ -209,8 +209,8 @@
             },
             ClusterScenario("jobs bound to one zone, arrays too, lose machines", mixture = false) {
                 for (id in 201..206) user(spec(id, 6, 6.0, zone = "a"))
-                for (id in listOf(203, 210, 217, 224)) user(spec(id + 100, 5, 8.0).copy(oneZone = true))
-                for (id in listOf(401, 402)) user(spec(id, 5, 6.0, spot = false).copy(spread = true))
+                for (id in listOf(203, 210, 217, 224)) user(spec(id + 100, 5, 8.0).copy(sameZone = true))
+                for (id in listOf(401, 402)) user(spec(id, 5, 6.0, spot = false).copy(spreadAcrossZones = true))
                 delay(7_000)
                 machines().filter { it.zone == "a" }.forEach(::take)
                 delay(6_000)
@@ -224,7 +224,7 @@
                 // Urgent work that may run nowhere else fills the zone for longer than anything may wait.
                 for (id in listOf(401, 402, 403, 404, 407, 408, 409, 411, 412, 414, 416)) {
                     user(
-                        spec(id, 3, 260.0, zone = "a").copy(spread = false, oneZone = false),
+                        spec(id, 3, 260.0, zone = "a").copy(spreadAcrossZones = false, sameZone = false),
                     )
                 }
                 delay(10_000)
--- a/src/test/kotlin/io/otterknot/cluster/DependencyScenarioTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/DependencyScenarioTest.kt
@@ -27,12 +27,12 @@
                 cores = 1.0,
             )
                 .copy(
-                    awaits = awaits.map {
+                    dependencies = awaits.map {
                         "j-%06d".format(it)
                     }.ifEmpty { null },
                     dueS = if (last) 60.0 else null,
-                    oneZone = false,
-                    spread = false,
+                    sameZone = false,
+                    spreadAcrossZones = false,
                 )
 
         /**
@@ -160,7 +160,7 @@
             },
             ClusterScenario("a job is called off as its last task ends, and others await it", mixture = false) {
                 onLastEnd = { spec ->
-                    if (spec.awaits == null && random.nextInt(3) > 0) {
+                    if (spec.dependencies == null && random.nextInt(3) > 0) {
                         scope.launch {
                             delay(random.nextLong(1_000))
                             cancel(spec)
--- a/src/test/kotlin/io/otterknot/cluster/LoadSpreadClusterTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/LoadSpreadClusterTest.kt
@@ -183,8 +183,8 @@
             },
             troubled("pipelines wait meanwhile") {
                 user(spec(800, 3, 2.0, team = "blue"))
-                user(spec(801, 3, 2.0, team = "red").copy(awaits = listOf("j-000800")))
-                user(spec(802, 3, 2.0, team = "blue").copy(awaits = listOf("j-000801")))
+                user(spec(801, 3, 2.0, team = "red").copy(dependencies = listOf("j-000800")))
+                user(spec(802, 3, 2.0, team = "blue").copy(dependencies = listOf("j-000801")))
                 delay(10_000)
             },
             troubled("switched off and on while it works") {
--- a/src/test/kotlin/io/otterknot/cluster/UnusualRequestTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/UnusualRequestTest.kt
@@ -194,7 +194,7 @@
     @Test
     fun `a job may await only what was accepted, and is cancelled with what it awaits`() = onCluster {
         suspend fun submit(id: Int, vararg awaits: String) =
-            send("POST", "/submissions", body(expect(spec(id, 1, 30.0).copy(awaits = awaits.toList()))))
+            send("POST", "/submissions", body(expect(spec(id, 1, 30.0).copy(dependencies = awaits.toList()))))
         assertEquals(201, submit(701).status)
         for (unknown in listOf("j-000799", "j-000702", "j-701")) {
             val answer = submit(702, "j-000701", unknown)
--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -52,7 +52,7 @@
             spot = true,
             estimateS = 10.0,
             dueS = dueS,
-            awaits = awaits.map(::id).ifEmpty { null },
+            dependencies = awaits.map(::id).ifEmpty { null },
         )
 
     /** The jobs of which the table says that something else holds now. */
@@ -253,7 +253,7 @@
             listOf(2, 4).map {
                 partition.job(id(it))!!.let { held ->
                     held.pending.cardinality() to
-                        held.doubtful.cardinality()
+                        held.inDoubt.cardinality()
                 }
             },
         )
@@ -291,7 +291,7 @@
     private fun list(count: Int) = List(count) { "j-%06d".format(it * 37) }
 
     private fun accepted(awaits: List<String>, limits: WriteLimits): List<KeyChange>? = JobTransitions.accept(
-        JobRecord(spec(1, emptyList()).copy(awaits = awaits), listOf(TaskSpan("a", 0, 2))),
+        JobRecord(spec(1, emptyList()).copy(dependencies = awaits), listOf(TaskSpan("a", 0, 2))),
         limits,
     )?.changes
 
--- a/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
@@ -92,15 +92,15 @@
 
     private fun take(reply: Reply.Answer, sent: Long) {
         val commands = WireJson.decodeFromString(HeartbeatResponse.serializer(), reply.text)
-        if (commands.token < token) return
-        token = commands.token
+        if (commands.fencingToken < token) return
+        token = commands.fencingToken
         answeredMs = sent
         commands.commands.forEach(::carryOut)
     }
 
     private suspend fun goOn(reply: Reply) {
         val redirected = (reply as? Reply.Answer)?.takeIf { it.status == 421 }
-            ?.let { WireJson.decodeFromString(LeaderRedirect.serializer(), it.text).reportTo }
+            ?.let { WireJson.decodeFromString(LeaderRedirect.serializer(), it.text).leader }
         if (redirected != null && redirected != node && redirected in clients) {
             node = redirected
             return
--- a/src/test/kotlin/io/otterknot/load/SurgeLoad.kt
+++ b/src/test/kotlin/io/otterknot/load/SurgeLoad.kt
@@ -175,7 +175,7 @@
 
         private fun submit(team: String, priority: Priority, tasks: Int, runS: Double) {
             val spec = smallJob("j-%06d".format(++number), tasks).copy(
-                kind = "k", team = team, priority = priority, cores = CORES, memoryGb = 8.0,
+                jobClass = "k", team = team, priority = priority, cores = CORES, memoryGb = 8.0,
                 image = "img-$team", imageGb = 1.0, estimateS = runS, spot = true,
             )
             specs[spec.id] = spec
--- a/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
@@ -85,7 +85,7 @@
 
     /** A machine that is known, registered and idle. */
     private fun Partition.ready(vararg machines: String) {
-        machines.forEach { hear(it, token, 1) }
+        machines.forEach { hear(it, fencingToken, 1) }
         registeredNow(this.machines.map { it.id }.toSet())
     }
 
@@ -191,7 +191,7 @@
         partition.updateJob(job, inherited = false)
         val start = partition.hear("m1", 7, 10).starts().single()
         assertTrue(partition.hear("m1", 7, 20, start.shown("exited", "done")).commands().isEmpty())
-        assertTrue(partition.job(job.id)!!.unrecorded.get(0))
+        assertTrue(partition.job(job.id)!!.unrecordedCompletions.get(0))
         job.done.set(0)
         partition.updateDone(job)
         assertEquals(
@@ -342,7 +342,7 @@
         partition.hear("m3", 7, 30, session = 2, seq = 1)
         assertTrue(!held.pending.get(5) && !held.active.containsKey(5))
         partition.settleHandover(held, aside)
-        assertEquals(4, held.waiting)
+        assertEquals(4, held.pendingCount)
     }
 
     /**
@@ -445,7 +445,7 @@
             if (starts.isNotEmpty()) tries++
             if (tries > 2) assertTrue(starts.size <= 1)
             listOf("m1", "m2", "m3").forEach { partition.hear(it, 7, now) }
-            if (now > 3_000) assertTrue(partition.machines.first { it.id == "deaf" }.deaf)
+            if (now > 3_000) assertTrue(partition.machines.first { it.id == "deaf" }.losesResponses)
         }
         assertTrue(tries <= 7, "$tries")
         assertTrue("deaf" in partition.unreachable())
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
@@ -57,7 +57,7 @@
         noticeS: Double? = null,
     ): List<Command> {
         val seq = seqs.merge(machine, 1, Long::plus)!!
-        val report = Heartbeat(machine, "", "big", "a", false, 1, seq, token, noticeS, tasks.toList())
+        val report = Heartbeat(machine, "", "big", "a", false, 1, seq, fencingToken, noticeS, tasks.toList())
         return (report(report, now) as HeartbeatDecision.Answer).commands
     }
 
@@ -230,7 +230,7 @@
         partition.markCovered(1, beforeAll = true) { it.id == "j-000001" }
         partition.updateJob(job(4, 1, "blue", Priority.PRODUCTION), inherited = false)
         for (now in 4_000L..9_000L step 250) partition.sweep(now)
-        assertTrue(partition.machines.flatMap { it.attempts.values }.none { it.halting })
+        assertTrue(partition.machines.flatMap { it.attempts.values }.none { it.stopping })
     }
 
     /** By counting: what a plan costs grows with what waits and is bounded in machines; a report costs the same. */
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
@@ -247,19 +247,19 @@
                 ),
                 PlanCase(
                     "in one zone, partly placed",
-                    snapshot(listOf(waits(small.copy(oneZone = true)).copy(allWaits = false))),
+                    snapshot(listOf(waits(small.copy(sameZone = true)).copy(allWaits = false))),
                     emptyList(),
                     RefusalReason.PARTLY_PLACED,
                 ),
                 PlanCase(
                     "in one zone, as a whole",
-                    snapshot(listOf(waits(small.copy(oneZone = true)))),
+                    snapshot(listOf(waits(small.copy(sameZone = true)))),
                     listOf("j-000001 320 to b: SHORTER_WAIT"),
                     null,
                 ),
                 PlanCase(
                     "in one zone, far too much",
-                    snapshot(listOf(waits(small.copy(oneZone = true), tasks = 300))),
+                    snapshot(listOf(waits(small.copy(sameZone = true), tasks = 300))),
                     emptyList(),
                     RefusalReason.GAIN_TOO_SMALL,
                 ),
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPropertyTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPropertyTest.kt
@@ -57,7 +57,7 @@
         val job = snapshot.waiting.single { it.spec.id == move.job }
         assertTrue(move.target != snapshot.zone && job.spec.zone == null && !snapshot.open.handOverUnderWay)
         assertTrue(move.cores <= job.waitingCores + 1e-6, "no more than waits")
-        if (job.spec.oneZone) assertTrue(job.allWaits && move.cores == job.waitingCores, "as a whole")
+        if (job.spec.sameZone) assertTrue(job.allWaits && move.cores == job.waitingCores, "as a whole")
     }
 
     @Property(tries = 300)
@@ -163,7 +163,7 @@
         image = "i-${random.nextInt(3)}",
         imageGb = random.nextDouble() * 5,
         zone = "a".takeIf { random.nextInt(5) == 0 },
-        oneZone = random.nextInt(5) == 0,
+        sameZone = random.nextInt(5) == 0,
         spot = random.nextBoolean(),
         checkpointS = if (random.nextBoolean()) 5.0 else 0.0,
     )
--- a/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
@@ -35,7 +35,7 @@
         val job = decodeRecord(JobRecord.serializer(), productionJob)
         assertEquals(
             listOf("j-000412", 16, null, null, null),
-            listOf(job.spec!!.id, job.spec!!.tasks, job.spec!!.awaits, job.awaitKeys, job.endedMs),
+            listOf(job.spec!!.id, job.spec!!.tasks, job.spec!!.dependencies, job.awaitKeys, job.endedMs),
         )
         assertEquals("a", job.homeZone)
         assertEquals(
@@ -79,7 +79,7 @@
         val waiting = JobRecord(
             JobSpec(
                 "j-1", "k", "red", Priority.HIGH, 2, 1.0, memoryGb = 1.0, image = "i", imageGb = 1.0, estimateS = 1.0,
-                awaits = listOf(
+                dependencies = listOf(
                     "j-2",
                 ),
             ),
@@ -92,7 +92,7 @@
         ).jsonObject
         assertTrue("w" !in read && "Awaits" !in read.getValue("s").jsonObject)
         assertEquals(
-            waiting.copy(spec = waiting.spec!!.copy(awaits = null), awaitKeys = null),
+            waiting.copy(spec = waiting.spec!!.copy(dependencies = null), awaitKeys = null),
             decodeRecord(JobRecord.serializer(), read),
         )
     }
--- a/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
@@ -110,7 +110,7 @@
 
     private fun spec(tasks: Int, oneZone: Boolean = false, zone: String? = null, spot: Boolean = true) = JobSpec(
         id = "j-000001",
-        kind = "k",
+        jobClass = "k",
         team = "t",
         priority = Priority.HIGH,
         tasks = tasks,
@@ -119,7 +119,7 @@
         image = "i",
         imageGb = 1.0,
         zone = zone,
-        oneZone = oneZone,
+        sameZone = oneZone,
         spot = spot,
         estimateS = 10.0,
         dueS = 60.0,
@@ -189,7 +189,7 @@
             ),
         )
         assertEquals(missed, aims.missed(waiting(spec(1), 0), ageS * 1000))
-        assertEquals(0, aims.missed(waiting(spec(1).copy(kind = "other"), 0), 1_000_000))
+        assertEquals(0, aims.missed(waiting(spec(1).copy(jobClass = "other"), 0), 1_000_000))
         assertEquals(0.9, aims.readyShare(spec(1), 30.0))
         assertEquals(0.0, aims.readyShare(spec(1), 5.0))
     }
@@ -202,7 +202,7 @@
                 mapOf("k" to listOf(ServiceLevelObjective.Deadline(1.0), ServiceLevelObjective.Started(180.0, 0.9))),
             )
         fun job(name: String, tasks: Int, ageS: Long, kind: String = "k") = waiting(
-            spec(tasks).copy(id = name, kind = kind, dueS = 70.0, estimateS = 20.0),
+            spec(tasks).copy(id = name, jobClass = kind, dueS = 70.0, estimateS = 20.0),
             (1_000 - ageS) * 1_000,
         ).also {
             it.pending.set(0, tasks)
--- a/src/test/kotlin/io/otterknot/testing/FakeKeyValueStore.kt
+++ b/src/test/kotlin/io/otterknot/testing/FakeKeyValueStore.kt
@@ -226,7 +226,7 @@
         expire()
         val leaseEnded = txn.changes.any { it.put != null && it.lease != null && it.lease !in leases }
         if (leaseEnded) return answer(400, """{"error":"no such lease"}""")
-        val failed = txn.guards.filter { (data[it.key]?.version ?: 0) != it.version }.map { it.key }
+        val failed = txn.conditions.filter { (data[it.key]?.version ?: 0) != it.version }.map { it.key }
         if (failed.isNotEmpty()) {
             val keys = failed.joinToString(",") { "\"$it\"" }
             return answer(409, """{"failed":[$keys],"Tide":$revision}""")
--- a/src/test/kotlin/io/otterknot/testing/SafetyChecks.kt
+++ b/src/test/kotlin/io/otterknot/testing/SafetyChecks.kt
@@ -136,7 +136,7 @@
         val found = LinkedHashSet<String>()
         val walk = ArrayDeque(listOf(spec))
         while (walk.isNotEmpty()) {
-            for (id in walk.removeFirst().awaits.orEmpty()) {
+            for (id in walk.removeFirst().dependencies.orEmpty()) {
                 if (found.add(id)) specs[id]?.let(walk::add)
             }
         }
@@ -166,7 +166,7 @@
     }
 
     private fun checkTimes(name: String, spec: JobSpec) {
-        val awaited = spec.awaits.orEmpty()
+        val awaited = spec.dependencies.orEmpty()
         val readyMs = (awaited.mapNotNull(wholeAt::get) + listOfNotNull(acceptedAt[spec.id])).maxOrNull() ?: nowMs()
         val waitedMs = nowMs() - readyMs
         if (began.add(spec.id) && waitedMs > BEGIN_MS) {
@@ -187,10 +187,10 @@
         val sameJob = workers().flatMap { other ->
             other.holding().values.filter { it.job == spec.id }.map { other.zone }
         }
-        if (spec.oneZone && sameJob.any { it != worker.zone }) {
+        if (spec.sameZone && sameJob.any { it != worker.zone }) {
             broken.add("wrong_place: $name in ${worker.zone}, others in $sameJob")
         }
-        if (spec.spread && sameJob.count { it == worker.zone } + 1 > spec.perZoneLimit) {
+        if (spec.spreadAcrossZones && sameJob.count { it == worker.zone } + 1 > spec.maxTasksPerZone) {
             broken.add("wrong_place: too many of ${spec.id} in ${worker.zone}")
         }
     }
@@ -227,7 +227,7 @@
     }
 
     private fun waits(spec: JobSpec, shown: Set<String>): Boolean {
-        if (isOver(spec.id) || !isAccepted(spec.id) || !spec.awaits.orEmpty().all(::isWhole)) return false
+        if (isOver(spec.id) || !isAccepted(spec.id) || !spec.dependencies.orEmpty().all(::isWhole)) return false
         return (0 until spec.tasks).map { "${spec.id}/$it" }.any { it !in completed && it !in shown }
     }
 
@@ -242,7 +242,7 @@
         val zones = workers().flatMap { other ->
             other.shown().filter { it.startsWith("${spec.id}/") }.map { other.zone }
         }
-        return !(spec.oneZone && zones.any { it != worker.zone }) &&
-            !(spec.spread && zones.count { it == worker.zone } + 1 > spec.perZoneLimit)
+        return !(spec.sameZone && zones.any { it != worker.zone }) &&
+            !(spec.spreadAcrossZones && zones.count { it == worker.zone } + 1 > spec.maxTasksPerZone)
     }
 }
--- a/src/test/kotlin/io/otterknot/testing/SimulatedCluster.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedCluster.kt
@@ -219,7 +219,7 @@
         team: String = if (id % 2 == 0) "red" else "blue",
     ) = JobSpec(
         id = "j-%06d".format(id),
-        kind = kind,
+        jobClass = kind,
         team = team,
         priority = priority,
         tasks = tasks,
@@ -229,8 +229,8 @@
         imageGb = 0.5,
         spot = spot,
         estimateS = runS,
-        spread = id % 5 == 0,
-        oneZone = id % 7 == 0,
+        spreadAcrossZones = id % 5 == 0,
+        sameZone = id % 7 == 0,
         zone = zone,
     )
 
--- a/src/test/kotlin/io/otterknot/testing/SimulatedUsers.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedUsers.kt
@@ -73,7 +73,7 @@
         rules.specs[spec.id] = spec
         val connection = Connection()
         // Users name only jobs that were accepted.
-        while (spec.awaits.orEmpty().any { !rules.isAccepted(it) }) delay(100)
+        while (spec.dependencies.orEmpty().any { !rules.isAccepted(it) }) delay(100)
         submit(spec, connection)
         val accepted = nowMs()
         while (true) {
--- a/src/test/kotlin/io/otterknot/testing/SimulatedWorker.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedWorker.kt
@@ -164,10 +164,10 @@
 
     private fun take(response: HttpResponse, report: Heartbeat, sent: Long) {
         advance()
-        if (report.session != session) return
+        if (report.epoch != session) return
         val commands = WireJson.decodeFromString(HeartbeatResponse.serializer(), response.body.decodeToString())
-        if (commands.token < token) return
-        token = commands.token
+        if (commands.fencingToken < token) return
+        token = commands.fencingToken
         answeredMs = sent
         commands.commands.forEach(::execute)
     }
@@ -175,7 +175,7 @@
     /** Turns to the node that it is sent to, or to the next. */
     private suspend fun goOn(response: HttpResponse?) {
         val other = response?.takeIf { it.status == 421 }
-            ?.let { WireJson.decodeFromString(LeaderRedirect.serializer(), it.body.decodeToString()).reportTo }
+            ?.let { WireJson.decodeFromString(LeaderRedirect.serializer(), it.body.decodeToString()).leader }
         if (other == null || other == node) delay(1_000)
         val nodes = cluster.nodes
         node = other?.takeIf { it != node } ?: nodes[(nodes.indexOf(node) + 1) % nodes.size]
--- a/src/test/kotlin/io/otterknot/wire/WireTest.kt
+++ b/src/test/kotlin/io/otterknot/wire/WireTest.kt
@@ -23,7 +23,7 @@
         assertEquals(16, spec.tasks)
         assertEquals(listOf("g8"), spec.types)
         assertEquals(null, spec.zone)
-        assertTrue(spec.oneZone)
+        assertTrue(spec.sameZone)
     }
 
     @Test
@@ -54,7 +54,7 @@
             read,
             parseSubmission(
                 good.replace("\"DueS\":900.0", "\"Awaits\":$awaits").encodeToByteArray(),
-            ).awaits?.joinToString(" "),
+            ).dependencies?.joinToString(" "),
         )
     }
 
