--- a/src/main/kotlin/io/otterknot/api/JobApi.kt
+++ b/src/main/kotlin/io/otterknot/api/JobApi.kt
@@ -67,7 +67,7 @@
 
     /** Only what was accepted may be awaited; another node may have accepted it a moment ago. Null: all is well. */
     private suspend fun checkAwaited(spec: JobSpec): HttpResponse? {
-        if (!replica.upToDate(BARRIER_MS)) return later(STATE_AWAY)
+        if (!replica.awaitReadBarrier(BARRIER_MS)) return later(STATE_AWAY)
         jobs[spec.id]?.let { return tell(it, 200) }
         val unknown = spec.dependencies.orEmpty().firstOrNull { jobs[it] == null } ?: return null
         return refuse(spec.id, 422, "Awaits names $unknown, which was never accepted")
@@ -86,7 +86,7 @@
         var tried = limits
         repeat(SIZE_TRIES) {
             val acceptance = JobTransitions.accept(record, tried) ?: return refuse(spec.id, 400, TOO_LONG)
-            if (!client.budget.tryTake(acceptance.size, SUBMIT_WAIT_MS)) return later(TOO_MANY_CHANGES)
+            if (!client.budget.tryAcquire(acceptance.size, SUBMIT_WAIT_MS)) return later(TOO_MANY_CHANGES)
             val outcome = client.txn(acceptance)
             if (outcome !is TransactionOutcome.Refused || !outcome.tooLarge) return stored(spec, record, outcome)
             // Several values may be refused for their number, which says nothing of what others write.
@@ -101,7 +101,7 @@
             is TransactionOutcome.Applied -> accepted(spec)
 
             is TransactionOutcome.Conflict -> {
-                val read = replica.reach(outcome.revision, REACH_MS)
+                val read = replica.awaitRevision(outcome.revision, REACH_MS)
                 if (read) current(spec.id, 200) else later("the job is known; its state is being read")
             }
 
@@ -109,7 +109,7 @@
 
             is TransactionOutcome.Unknown -> {
                 // The job may be stored now, later or never: only reading tells. By now it may even have ended.
-                val job = if (replica.upToDate(REACH_MS)) jobs[spec.id] else null
+                val job = if (replica.awaitReadBarrier(REACH_MS)) jobs[spec.id] else null
                 val isOurs = job?.record?.nonce == record.nonce
                 if (job == null) later(NO_ANSWER) else tell(job, if (isOurs) 201 else 200)
             }
@@ -124,11 +124,11 @@
     suspend fun withdraw(id: String): HttpResponse {
         if (!isJobId(id)) return unknown(id)
         repeat(TRIES) {
-            if (jobs[id] == null && !replica.upToDate(BARRIER_MS)) return later(STATE_AWAY)
+            if (jobs[id] == null && !replica.awaitReadBarrier(BARRIER_MS)) return later(STATE_AWAY)
             val job = jobs[id] ?: return unknown(id)
             // Decided and guarded in one step: while the cancellation waits for its turn, the job may end.
             val cancellation = JobTransitions.cancel(job, wallMs(), limits) ?: return tell(job, 200)
-            if (!client.budget.tryTake(cancellation.size, SUBMIT_WAIT_MS)) return later(TOO_MANY_CHANGES)
+            if (!client.budget.tryAcquire(cancellation.size, SUBMIT_WAIT_MS)) return later(TOO_MANY_CHANGES)
             cancelled(id, cancellation)?.let { return it }
         }
         return later("the job is changing")
@@ -138,13 +138,13 @@
     private suspend fun cancelled(id: String, cancellation: CompareAndSwap): HttpResponse? {
         when (val outcome = client.txn(cancellation)) {
             is TransactionOutcome.Applied -> {
-                replica.reach(outcome.revision, REACH_MS)
+                replica.awaitRevision(outcome.revision, REACH_MS)
                 log.info("{} is cancelled", id)
                 return status(JobStatus(id, "aborted"), 200)
             }
 
             is TransactionOutcome.Conflict -> {
-                val read = replica.reach(outcome.revision, REACH_MS)
+                val read = replica.awaitRevision(outcome.revision, REACH_MS)
                 return if (read) null else later("the state service is slow")
             }
 
@@ -154,14 +154,14 @@
                 return null
             }
 
-            is TransactionOutcome.Unknown -> return if (replica.upToDate(REACH_MS)) null else later(NO_ANSWER)
+            is TransactionOutcome.Unknown -> return if (replica.awaitReadBarrier(REACH_MS)) null else later(NO_ANSWER)
         }
     }
 
     /** The state of a job as of now: a final one from memory, any other only once the replica is surely up to date. */
     private suspend fun current(id: String, code: Int): HttpResponse {
         jobs[id]?.let { if (it.outcome != null) return tell(it, code) }
-        if (!replica.upToDate(BARRIER_MS)) return later(STATE_AWAY)
+        if (!replica.awaitReadBarrier(BARRIER_MS)) return later(STATE_AWAY)
         val job = jobs[id] ?: return unknown(id)
         return tell(job, code)
     }
@@ -181,7 +181,7 @@
     /** A refusal that is final, given only if no node has accepted a job of this id. */
     private suspend fun refuse(id: String?, code: Int, why: String): HttpResponse {
         if (id != null && isJobId(id)) {
-            if (!replica.upToDate(BARRIER_MS)) return later(STATE_AWAY)
+            if (!replica.awaitReadBarrier(BARRIER_MS)) return later(STATE_AWAY)
             jobs[id]?.let { return tell(it, 200) }
         }
         return HttpResponse.refusal(code, why)
--- a/src/main/kotlin/io/otterknot/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/Autoscaler.kt
@@ -53,7 +53,7 @@
                 val partition = partitions[zone] ?: continue
                 if (ownership.token(zone) != partition.fencingToken) continue
                 partition.machines.forEach { coming.remove(it.id) }
-                release(partition.hung(nowMs(), maxOf(HUNG_REPORTS * reportMs, HUNG_MS)), "hung")
+                release(partition.unresponsiveMachines(nowMs(), maxOf(HUNG_REPORTS * reportMs, HUNG_MS)), "hung")
                 returnUnreachable(partition)
                 partition.machines.forEach { it.drainingForScaleIn = false }
                 val view = view(partition)
@@ -70,7 +70,7 @@
 
     private suspend fun settleOpen() {
         for (entry in open.toList()) {
-            if (ownership.claimed(entry.request.zone) == null) {
+            if (ownership.acquiredToken(entry.request.zone) == null) {
                 // The next owner finds what it may have rented in the list or by its reports.
                 open.remove(entry)
                 continue
@@ -132,7 +132,7 @@
             if (!machine.spot) ordinary += machine.type.cores
         }
         // Machines that an earlier owner had are heard of only by and by: before that, all would seem to be missing.
-        for (type in partition.unheard()) {
+        for (type in partition.unreportedMachineTypes()) {
             val cores = catalog.type(type)?.cores ?: 0.0
             total += cores
             ordinary += cores
@@ -185,7 +185,7 @@
 
     /** Not all at once: should it be the way there that is broken, others would fare no better. */
     private suspend fun returnUnreachable(partition: Partition) {
-        val lost = partition.unreachable()
+        val lost = partition.machinesLosingResponses()
         val now = nowMs()
         if (lost.isEmpty() || now - (unreachableMs[partition.zone] ?: Long.MIN_VALUE / 2) < leaseMs) return
         unreachableMs[partition.zone] = now
@@ -209,7 +209,7 @@
         for (id in ids.take(100)) {
             coming.remove(id)
             gone.add(id)
-            partitions.values.forEach { it.released(id) }
+            partitions.values.forEach { it.machineReleased(id) }
         }
     }
 
@@ -239,7 +239,7 @@
             for (partition in partitions.values) {
                 partition.machines.filter {
                     it.leaseExpired && it.id !in ids && now - it.lastHeartbeatMs > VANISHED_MS
-                }.forEach { partition.dismiss(it.id) }
+                }.forEach { partition.forgetMachine(it.id) }
             }
             release(useless, "failed, silent or never up")
         }
--- a/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
+++ b/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
@@ -114,7 +114,7 @@
         // Told for the first time a minute after a start, when nobody should wait for its classes.
         Metrics { 0 }.apply {
             count("warm-up")
-            took("warm-up", 1)
+            recordDuration("warm-up", 1)
             countsText()
             timesText()
         }
--- a/src/main/kotlin/io/otterknot/cloud/CloudClient.kt
+++ b/src/main/kotlin/io/otterknot/cloud/CloudClient.kt
@@ -30,7 +30,7 @@
 class CloudClient(private val http: Transport, private val budget: RateLimiter) {
 
     suspend fun types(): List<MachineType>? {
-        budget.take()
+        budget.acquire()
         return decode(MachineTypes.serializer(), http.call("GET", "/flavors", null, CALL_MS))?.types
     }
 
@@ -38,7 +38,7 @@
         val all = ArrayList<ListedMachine>()
         var after: String? = null
         while (true) {
-            budget.take()
+            budget.acquire()
             val from = if (after == null) "" else "After=$after&"
             val page =
                 decode(MachineList.serializer(), http.call("GET", "/machines?${from}Page=500", null, CALL_MS))
@@ -50,7 +50,7 @@
     }
 
     suspend fun rent(request: ScaleOutRequest): ScaleOutResult {
-        budget.take()
+        budget.acquire()
         val body = WireJson.encodeToString(ScaleOutRequest.serializer(), request).encodeToByteArray()
         return when (val reply = http.call("POST", "/machines", body, CALL_MS)) {
             is Reply.None -> ScaleOutResult.Unknown
@@ -72,7 +72,7 @@
 
     /** True only once the machines and everything on them are gone. */
     suspend fun release(machines: List<String>): Boolean {
-        budget.take()
+        budget.acquire()
         val body = WireJson.encodeToString(MachineNames.serializer(), MachineNames(machines)).encodeToByteArray()
         val reply = http.call("POST", "/machines/release", body, CALL_MS)
         return reply is Reply.Answer && reply.status == 200
--- a/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
+++ b/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
@@ -28,7 +28,7 @@
     }
 
     private fun isObsolete(record: CompletionSegmentRecord): Boolean =
-        (record.bits.keys + record.fine?.keys.orEmpty()).none(jobs::matters)
+        (record.bits.keys + record.fine?.keys.orEmpty()).none(jobs::isStillNeeded)
 
     private fun additions(partition: Partition, segments: Map<String, CompletionSegmentRecord>): List<PendingWrite> {
         val chunks = changedChunks(partition)
@@ -71,8 +71,8 @@
 
     /** A segment as it shall be, without what is said of jobs that are over. */
     private inner class Segment(record: CompletionSegmentRecord) {
-        private val bits = record.bits.filterKeys(jobs::matters).toMutableMap()
-        private val fineBits = record.fine.orEmpty().filterKeys(jobs::matters).toMutableMap()
+        private val bits = record.bits.filterKeys(jobs::isStillNeeded).toMutableMap()
+        private val fineBits = record.fine.orEmpty().filterKeys(jobs::isStillNeeded).toMutableMap()
 
         /** Whether something was added. */
         var changed = false
--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -159,17 +159,17 @@
      * This node's share of a limit: [even] of it goes evenly to all nodes, the rest with the partitions, since their
      * owners have the work. One node at a time may act for a partition, so the shares never pass the whole together.
      */
-    private fun share(even: Double): Double = SHARE * (even / nodes + (1 - even) * ownership.ownedShare())
+    private fun share(even: Double): Double = SHARE * (even / nodes + (1 - even) * ownership.ledPartitionShare())
 
     /** Runs until cancelled. */
     suspend fun run() = coroutineScope {
         replica.onChange = dispatcher::changed
         replica.onBatch = ::takeUpClaims
         backgroundTask("contact") { stateLink.probe() }
-        backgroundTask("replica") { replica.follow() }
+        backgroundTask("replica") { replica.followWatch() }
         backgroundTask("barrier") { replica.serveBarrier() }
-        backgroundTask("lease") { ownership.keepLease() }
-        backgroundTask("claims") { ownership.claimPartitions() }
+        backgroundTask("lease") { ownership.keepStoreLease() }
+        backgroundTask("claims") { ownership.acquirePartitions() }
         backgroundTask("types") {
             // What is remembered will do for a start, when there is most to do.
             withTimeoutOrNull(REMEMBER_MS) { replica.awaitLoaded() }
@@ -190,8 +190,8 @@
                 val before = nowMs()
                 delay(SWEEP_MS)
                 val now = nowMs()
-                figures.took("sweep late", now - before - SWEEP_MS)
-                figures.tellNowAndThen()
+                figures.recordDuration("sweep late", now - before - SWEEP_MS)
+                figures.logPeriodically()
                 if (now - before > SWEEP_MS + SLOW_MS) slowUntilMs = now + SLOW_FOR_MS
                 takeUpClaims()
                 partitions.values.forEach { it.sweep(now, slow = now < slowUntilMs) }
@@ -216,9 +216,9 @@
     suspend fun peer(message: PeerMessage): PeerMessage {
         if (message is PeerMessage.Carry) return carry(message)
         if (message is PeerMessage.Yield &&
-            partitions[message.zone]?.mayYield(nowMs()) == true
+            partitions[message.zone]?.mayTransferLeadership(nowMs()) == true
         ) {
-            ownership.yieldTo(message.zone, message.owned)
+            ownership.transferLeadership(message.zone, message.owned)
         }
         return idlePartitions.take(message, nowMs())
     }
@@ -228,7 +228,7 @@
         while (true) {
             delay(SEEK_MS + random.nextLong(SEEK_MS))
             val (zone, owner) = ownership.wanted() ?: continue
-            links.peers[owner]?.ask(PeerMessage.Yield(zone, ownership.owned), PEER_ANSWER_MS)
+            links.peers[owner]?.ask(PeerMessage.Yield(zone, ownership.ledPartitionCount), PEER_ANSWER_MS)
         }
     }
 
@@ -253,7 +253,7 @@
         override val liveJobs get() = jobs.live.values
         override val hasState get() = contact.sound
         override fun mayActFor(partition: Partition) = ownership.token(partition.zone) == partition.fencingToken
-        override fun isOwned(zone: String) = ownership.ownerOf(zone) != null
+        override fun isOwned(zone: String) = ownership.leaderOf(zone) != null
         override fun offers(zone: String, spec: JobSpec) = catalog.offers(zone, spec)
     }
 
@@ -273,14 +273,14 @@
         for (claim in due) {
             val zone = claim.zone
             val token = claim.token
-            if (ownership.claimed(zone) != token) continue
+            if (ownership.acquiredToken(zone) != token) continue
             val registered = machines.of(zone)
             val wallAhead = { wallMs() - nowMs() }
             val partition = Partition(
                 zone = zone,
                 fencingToken = token,
                 claimedMs = nowMs(),
-                othersUntilMs = ownership.overrides.othersUntilMs(zone, claim.overriding),
+                priorLeaderUntilMs = ownership.takeoverMarkers.othersUntilMs(zone, claim.overriding),
                 times = LeaseTimings(leaseMs),
                 random = random,
                 aims = aims,
--- a/src/main/kotlin/io/otterknot/controller/JobFinalizer.kt
+++ b/src/main/kotlin/io/otterknot/controller/JobFinalizer.kt
@@ -36,7 +36,7 @@
 
     private fun isDue(job: Job): Boolean {
         if (job.unrecordedEnd == null) return false
-        return job.record?.homeZone?.let(ownership::claimed) != null
+        return job.record?.homeZone?.let(ownership::acquiredToken) != null
     }
 
     /** A job that has further keys to remove is in a batch of its own. */
@@ -50,19 +50,19 @@
      * written; what ends them is decided only now, on what they are now.
      */
     private suspend fun finish(homeZone: String, chosen: List<Job>): Boolean {
-        val owner = ownership.guard(homeZone) ?: return true
+        val owner = ownership.leadershipCondition(homeZone) ?: return true
         val ends = chosen.filter(::isDue).mapNotNull { JobTransitions.finish(it, wallMs(), limits) }
         if (ends.isEmpty()) return true
         val change = ends.reduce(CompareAndSwap::plus).onlyWhile(owner)
-        budget.takeSpare(change.size)
+        budget.acquireSpare(change.size)
         return when (val outcome = client.txn(change)) {
             is TransactionOutcome.Applied -> {
                 log.debug("done or cancelled: {}", change.changes.map { it.key })
-                replica.reach(outcome.revision, REACH_MS)
+                replica.awaitRevision(outcome.revision, REACH_MS)
             }
 
             // Some job was cancelled or handed on meanwhile; what the replica then shows is tried again.
-            is TransactionOutcome.Conflict -> replica.reach(outcome.revision, REACH_MS)
+            is TransactionOutcome.Conflict -> replica.awaitRevision(outcome.revision, REACH_MS)
 
             is TransactionOutcome.Refused -> {
                 if (outcome.tooLarge) limits.refused(change.changes)
--- a/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
+++ b/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
@@ -28,7 +28,7 @@
         if (withoutPrices(known) == withoutPrices(offered)) return
         val change = CompareAndSwap.put(stored, encodeRecord(MachineTypes.serializer(), MachineTypes(offered)))
         if (!limits.fits(change)) return
-        budget.take(1)
+        budget.acquire(1)
         // One of the nodes that try succeeds; whatever else comes of it, the next answer of the cloud tries again.
         val outcome = client.txn(change)
         log.debug("machine types written: {}", outcome)
--- a/src/main/kotlin/io/otterknot/controller/PartitionStateWriter.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionStateWriter.kt
@@ -42,9 +42,9 @@
             delay(PAUSE_MS)
             if (!replica.loaded) continue
             for (partition in partitions.values.toList()) {
-                val guard = ownership.guard(partition.zone) ?: continue
+                val guard = ownership.leadershipCondition(partition.zone) ?: continue
                 if (guard.version != partition.fencingToken) continue
-                writer.write(guard, writes(partition)) { ownership.superseded(partition.zone) }
+                writer.write(guard, writes(partition)) { ownership.leadershipLost(partition.zone) }
             }
             finisher.finishAll()
         }
@@ -57,15 +57,20 @@
     /** Removes the mark that an earlier owner may still act, once it surely does not. */
     private fun overrideEnd(partition: Partition): PendingWrite? {
         val key = StoreKeys.override(partition.zone)
-        if (replica[key] == null || nowMs() <= partition.othersUntilMs) return null
+        if (replica[key] == null || nowMs() <= partition.priorLeaderUntilMs) return null
         return PendingWrite(key, null)
     }
 
     private fun machines(partition: Partition): List<PendingWrite> {
-        val added = partition.unregistered().associate { it.id to it.type.name }
-        if (added.isEmpty() && partition.retired.isEmpty()) return emptyList()
+        val added = partition.unregisteredMachines().associate { it.id to it.type.name }
+        if (added.isEmpty() && partition.releasedMachines.isEmpty()) return emptyList()
         val stored = replica.machineSegments(partition.zone)
-        val changed = RecordSegments.spread(stored, partition.retired, added, limits.recordBytes / MACHINE_BYTES)
+        val changed = RecordSegments.spread(
+            stored,
+            partition.releasedMachines,
+            added,
+            limits.recordBytes / MACHINE_BYTES,
+        )
         val earlier = LinkedHashSet<String>()
         return changed.map { (segment, types) ->
             val key = StoreKeys.machines(partition.zone, segment)
@@ -78,7 +83,7 @@
                 )
             }
             // A machine must be in some segment at any time: what loses one is written after what takes it.
-            val moved = stored[segment].orEmpty().keys - types.keys - partition.retired
+            val moved = stored[segment].orEmpty().keys - types.keys - partition.releasedMachines
             val after = if (moved.isEmpty()) emptySet() else earlier.toSet()
             earlier.add(key)
             PendingWrite(key, value, after)
@@ -90,7 +95,7 @@
         val now = nowMs()
         if (now - (meanSentMs[partition.zone] ?: Long.MIN_VALUE / 2) < MEAN_EVERY_MS) return null
         val key = StoreKeys.mean(partition.zone)
-        val needs = limitedTeams.associateWith { partition.need(it) }.filterValues { it.cores > 0 || it.cards > 0 }
+        val needs = limitedTeams.associateWith { partition.quotaNeed(it) }.filterValues { it.cores > 0 || it.cards > 0 }
         val current = PartitionLoadRecord(
             mean = round(partition.load.mean()),
             cores = partition.load.totalCores,
--- a/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
+++ b/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
@@ -26,21 +26,21 @@
     /** [entry] is null for a removed key. */
     fun changed(key: String, entry: ReplicaEntry?) {
         when {
-            key.startsWith(StoreKeys.JOBS) -> updateJobs(jobs.changeJob(key, entry))
+            key.startsWith(StoreKeys.JOBS) -> updateJobs(jobs.applyJobChange(key, entry))
 
-            key.startsWith(StoreKeys.AWAITS) -> updateJobs(jobs.changeAwaits(key, entry))
+            key.startsWith(StoreKeys.AWAITS) -> updateJobs(jobs.applyDependencySegment(key, entry))
 
-            key.startsWith(StoreKeys.DONE) -> updateCompletions(jobs.changeDone(key, entry))
+            key.startsWith(StoreKeys.DONE) -> updateCompletions(jobs.applyCompletionSegment(key, entry))
 
             key.startsWith(
                 StoreKeys.MACHINES,
             ) -> machinesChanged(key.removePrefix(StoreKeys.MACHINES).substringBefore('/'))
 
             key.startsWith(StoreKeys.PARTITIONS) ->
-                ownership.partitionChanged(key.removePrefix(StoreKeys.PARTITIONS), entry?.version)
+                ownership.leaderRecordChanged(key.removePrefix(StoreKeys.PARTITIONS), entry?.version)
 
             key.startsWith(StoreKeys.OVERRIDES) ->
-                ownership.overrides.changed(key.removePrefix(StoreKeys.OVERRIDES), present = entry != null)
+                ownership.takeoverMarkers.changed(key.removePrefix(StoreKeys.OVERRIDES), present = entry != null)
 
             key == StoreKeys.TYPES -> typesChanged(entry)
 
@@ -58,13 +58,13 @@
 
     private fun updateCompletions(changed: List<Job>) {
         for (job in changed) {
-            for (partition in partitions.values) partition.updateDone(job)
+            for (partition in partitions.values) partition.applyCompletions(job)
         }
     }
 
     private fun machinesChanged(zone: String) {
         machines.changed(zone)
-        partitions[zone]?.registeredNow(machines.of(zone).keys)
+        partitions[zone]?.updateRegisteredMachines(machines.of(zone).keys)
     }
 
     private fun typesChanged(entry: ReplicaEntry?) {
--- a/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
@@ -29,7 +29,7 @@
         if (report.fencingToken > token) return lost(zone)
         // Claimed, but not everything written before the claim has been read yet: no commands, only the new token.
         val partition = partitions[zone]?.takeIf { it.fencingToken == token } ?: return answer(token, emptyList())
-        return when (val decision = partition.report(report, nowMs())) {
+        return when (val decision = partition.handleHeartbeat(report, nowMs())) {
             is HeartbeatDecision.Answer -> answer(decision.fencingToken, decision.commands)
             HeartbeatDecision.Superseded -> lost(zone)
             HeartbeatDecision.Stale -> HttpResponse.refusal(503, "a newer report came before this one")
@@ -37,16 +37,16 @@
     }
 
     private fun lost(zone: String): HttpResponse {
-        ownership.superseded(zone)
+        ownership.leadershipLost(zone)
         return HttpResponse.refusal(503, "$label has lost $zone")
     }
 
     private fun elsewhere(report: Heartbeat): HttpResponse {
         val zone = report.zone
-        val owner = ownership.ownerOf(zone)
+        val owner = ownership.leaderOf(zone)
         if (owner == null || owner == label) return HttpResponse.refusal(503, "nobody may act for $zone at the moment")
-        ownership.sentOn(zone, report.machine, report.fencingToken)
-        if (ownership.doubtsOwner(
+        ownership.workerRedirected(zone, report.machine, report.fencingToken)
+        if (ownership.suspectsLeader(
                 zone,
             )
         ) {
--- a/src/main/kotlin/io/otterknot/jobs/JobTable.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTable.kt
@@ -59,7 +59,7 @@
     private fun known(id: String) = jobs.getOrPut(id) { Job(id) }
 
     /** Takes a change of a job's own key; the job, and others of which something else holds now. */
-    fun changeJob(key: String, entry: ReplicaEntry?): List<Job> {
+    fun applyJobChange(key: String, entry: ReplicaEntry?): List<Job> {
         val job = known(key.substring(StoreKeys.JOBS.length))
         if (entry == null) return listOf(job)
         val earlier = job.final
@@ -77,7 +77,7 @@
     }
 
     /** Takes a key with jobs that some job awaits. */
-    fun changeAwaits(key: String, entry: ReplicaEntry?): List<Job> {
+    fun applyDependencySegment(key: String, entry: ReplicaEntry?): List<Job> {
         if (entry == null) return emptyList()
         val path = key.substring(StoreKeys.AWAITS.length)
         return pipelines.addAwaitedJobs(
@@ -88,7 +88,7 @@
     }
 
     /** Takes a change of a segment of completions; the jobs of which tasks are newly done. */
-    fun changeDone(key: String, entry: ReplicaEntry?): List<Job> {
+    fun applyCompletionSegment(key: String, entry: ReplicaEntry?): List<Job> {
         if (entry == null) {
             segments.remove(key)
             return emptyList()
@@ -115,5 +115,5 @@
     fun segments(prefix: String): Map<String, CompletionSegmentRecord> = segments.filterKeys { it.startsWith(prefix) }
 
     /** Whether a name in a segment still says something: its job is not over. */
-    fun matters(name: String): Boolean = jobs[TaskBitmaps.job(name)]?.final == null
+    fun isStillNeeded(name: String): Boolean = jobs[TaskBitmaps.job(name)]?.final == null
 }
--- a/src/main/kotlin/io/otterknot/leadership/FencedTransactions.kt
+++ b/src/main/kotlin/io/otterknot/leadership/FencedTransactions.kt
@@ -35,12 +35,12 @@
         val owned = change.onlyWhile(owner)
         var unanswered = false
         while (partitions[partition.zone] === partition) {
-            client.budget.takeSpare(1, lesser = true)
+            client.budget.acquireSpare(1, lesser = true)
             when (val outcome = client.txn(owned)) {
                 is TransactionOutcome.Applied -> return shown(outcome.revision, partition, Settled.APPLIED)
 
                 is TransactionOutcome.Conflict -> {
-                    if (owner.key in outcome.failed) ownership.superseded(partition.zone)
+                    if (owner.key in outcome.failed) ownership.leadershipLost(partition.zone)
                     return shown(outcome.revision, partition, Settled.NOT_APPLIED)
                 }
 
@@ -48,7 +48,7 @@
                     if (outcome.tooLarge) {
                         limits.refused(change.changes)
                         if (!unanswered) return Settled.NOT_APPLIED
-                        ownership.superseded(partition.zone)
+                        ownership.leadershipLost(partition.zone)
                     }
                     delay(400 + random.nextLong(600))
                 }
@@ -65,7 +65,7 @@
     /** Waits until the replica shows the outcome, for as long as the partition is ours. */
     private suspend fun shown(revision: Long, partition: Partition, settled: Settled): Settled {
         while (partitions[partition.zone] === partition) {
-            if (replica.reach(revision, REACH_MS)) return settled
+            if (replica.awaitRevision(revision, REACH_MS)) return settled
         }
         return Settled.PART_LOST
     }
--- a/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
+++ b/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
@@ -52,13 +52,13 @@
      * then it shows the owner's [token]: one that shows less, as a whole zone does once it is no longer cut off, only
      * looks for it.
      */
-    fun sentOn(zone: String, machine: String, token: Long) {
+    fun workerRedirected(zone: String, machine: String, token: Long) {
         val leftOwner = machine in machines(zone) && token == replica[StoreKeys.partition(zone)]?.version
         monitor.sent(zone, machine, leftOwner, nowMs())
     }
 
     /** Whether the owner of [zone] seems not to answer its workers. */
-    fun doubtsOwner(zone: String): Boolean = monitor.isDoubtful(zone, nowMs())
+    fun suspectsLeader(zone: String): Boolean = monitor.isDoubtful(zone, nowMs())
 
     /** When a partition was claimed from this node although it acts for it: its workers do not reach it. */
     private var overriddenMs = Long.MIN_VALUE / 2
@@ -67,20 +67,22 @@
     fun token(zone: String): Long? = tokens[zone]?.takeIf { fence.holds(nowMs()) }
 
     /** Until when an earlier owner of [zone], claimed from it without its doing, may still act. */
-    val overrides = TakeoverMarkers(ttlMs, nowMs)
+    val takeoverMarkers = TakeoverMarkers(ttlMs, nowMs)
 
     /** The token of [zone] whether or not the fence holds; guards of transactions need no fence. */
-    fun claimed(zone: String): Long? = tokens[zone]
+    fun acquiredToken(zone: String): Long? = tokens[zone]
 
-    fun ownerOf(zone: String): String? = partitionKey(zone).value?.owner
+    fun leaderOf(zone: String): String? = partitionKey(zone).value?.owner
 
     /** Of all partitions, how many this node may act for now. */
-    fun ownedShare(): Double = if (fence.holds(nowMs())) tokens.size.toDouble() / zones.size else 0.0
+    fun ledPartitionShare(): Double = if (fence.holds(nowMs())) tokens.size.toDouble() / zones.size else 0.0
 
-    fun guard(zone: String): VersionCondition? = tokens[zone]?.let { VersionCondition(StoreKeys.partition(zone), it) }
+    fun leadershipCondition(zone: String): VersionCondition? = tokens[zone]?.let {
+        VersionCondition(StoreKeys.partition(zone), it)
+    }
 
     /** A worker or a failed guard has shown that somebody else owns the partition. */
-    fun superseded(zone: String) {
+    fun leadershipLost(zone: String) {
         if (tokens.remove(zone) != null) {
             log.warn("no longer the owner of {}", zone)
             onLoss(zone)
@@ -93,7 +95,7 @@
      * may go round by another controller while the watch stands still, and whoever answers workers without knowing of
      * cancellations that users were told of keeps their tasks alive. See "One owner at a time" in `docs/design.md`.
      */
-    suspend fun keepLease() {
+    suspend fun keepStoreLease() {
         while (true) {
             val sent = nowMs()
             val good = renew() && confirmed()
@@ -125,9 +127,9 @@
     private suspend fun confirmed(): Boolean {
         replica.awaitLoaded()
         val revision = confirm() ?: return false
-        if (replica.reach(revision, REACH_MS)) return true
+        if (replica.awaitRevision(revision, REACH_MS)) return true
         log.info("the watch is behind revision {}: the fence stays where it is", revision)
-        replica.reopen()
+        replica.reopenWatch()
         return false
     }
 
@@ -135,7 +137,7 @@
         log.warn("the lease has ended")
         lease = null
         fence.lost()
-        tokens.keys.toList().forEach(::superseded)
+        tokens.keys.toList().forEach(::leadershipLost)
     }
 
     /**
@@ -145,7 +147,7 @@
     private suspend fun confirm(): Long? {
         val asked = tokens.toMap()
         if (asked.isEmpty()) return client.revisionAtOnce()
-        client.budget.takeAtOnce()
+        client.budget.acquireWithoutWaiting()
         return when (
             val outcome = client.compare(
                 asked.map { (zone, token) ->
@@ -158,7 +160,7 @@
             is TransactionOutcome.Conflict -> {
                 for ((zone, token) in asked) {
                     val isLost = StoreKeys.partition(zone) in outcome.failed
-                    if (isLost && tokens[zone] == token) superseded(zone)
+                    if (isLost && tokens[zone] == token) leadershipLost(zone)
                 }
                 null
             }
@@ -171,24 +173,24 @@
      * The replica shows a change of a partition's key, before any later change: what is written from then on is not
      * ours.
      */
-    fun partitionChanged(zone: String, version: Long?) {
+    fun leaderRecordChanged(zone: String, version: Long?) {
         monitor.ownerChanged(zone, nowMs())
         val own = tokens[zone] ?: return
         if (version == null || version <= own) return
         if (fence.holds(nowMs())) overriddenMs = nowMs()
-        superseded(zone)
+        leadershipLost(zone)
     }
 
     /**
      * Gives a partition up so that the node that asks for it may claim it; it stops acting for it before anybody can.
      */
-    suspend fun yieldTo(zone: String, others: Int) {
+    suspend fun transferLeadership(zone: String, others: Int) {
         val fencingToken = tokens[zone] ?: return
         if (tokens.size < others + TOO_MANY) return
         log.info("giving {} up to a node with less to do", zone)
         tokens.remove(zone)
         onLoss(zone)
-        client.budget.take(1)
+        client.budget.acquire(1)
         // If this is lost, the key still shows this node's label, and this node claims the partition again.
         client.txn(CompareAndSwap.remove(Snapshot(StoreKeys.partition(zone), zone, fencingToken)))
         yieldedMs[zone] = nowMs()
@@ -199,12 +201,12 @@
     /** A partition that this node should rather own than its owner, who has far more to do. */
     fun wanted(): Pair<String, String>? {
         if (tokens.isNotEmpty() || !fence.holds(nowMs()) || nowMs() - overriddenMs < OVERRIDDEN_MS) return null
-        val owners = zones.mapNotNull { zone -> ownerOf(zone)?.let { zone to it } }
+        val owners = zones.mapNotNull { zone -> leaderOf(zone)?.let { zone to it } }
         val busy = owners.groupBy({ it.second }, { it.first }).filter { it.value.size >= TOO_MANY }
         val mine = busy.entries.flatMap { (owner, owned) -> owned.map { it to owner } }
-        val wanted = mine.minByOrNull { (zone, _) -> claimRank(zone, zones, label, domains) } ?: return null
-        askedMs[wanted.first] = nowMs()
-        return wanted
+        val partitionToRequest = mine.minByOrNull { (zone, _) -> claimRank(zone, zones, label, domains) } ?: return null
+        askedMs[partitionToRequest.first] = nowMs()
+        return partitionToRequest
     }
 
     /**
@@ -212,9 +214,9 @@
      */
     private val askedMs = HashMap<String, Long>()
 
-    val owned: Int get() = tokens.size
+    val ledPartitionCount: Int get() = tokens.size
 
-    suspend fun claimPartitions() {
+    suspend fun acquirePartitions() {
         while (true) {
             val held = lease
             if (held != null && replica.loaded && fence.holds(nowMs()) && mayClaim()) {
@@ -253,7 +255,7 @@
         val own = tokens[zone] ?: return
         val shown = replica[StoreKeys.partition(zone)]
         val isLost = if (shown != null) shown.version > own else replica.revision >= own
-        if (isLost) superseded(zone)
+        if (isLost) leadershipLost(zone)
     }
 
     /** Whether this node's turn has come to take the unowned partition of [zone]. */
@@ -271,7 +273,7 @@
         val record = encodeRecord(LeaderRecord.serializer(), LeaderRecord(label, incarnation))
         val plain = CompareAndSwap.put(before, record, lease = held)
         val claim = if (overriding) plain.andPut(StoreKeys.override(zone), JsonPrimitive(incarnation)) else plain
-        client.budget.take(claim.size)
+        client.budget.acquire(claim.size)
         when (val outcome = client.txn(claim)) {
             is TransactionOutcome.Applied -> {
                 tokens[zone] = outcome.revision
@@ -280,7 +282,7 @@
                 onClaim(zone, outcome.revision, overriding)
             }
 
-            is TransactionOutcome.Conflict -> replica.reach(outcome.revision, REACH_MS)
+            is TransactionOutcome.Conflict -> replica.awaitRevision(outcome.revision, REACH_MS)
 
             is TransactionOutcome.Refused -> if (outcome.status == 400) leaseEnded()
 
--- a/src/main/kotlin/io/otterknot/metrics/Metrics.kt
+++ b/src/main/kotlin/io/otterknot/metrics/Metrics.kt
@@ -15,11 +15,11 @@
         counts.getAndAdd(what, number.toLong())
     }
 
-    fun took(what: String, ms: Long) {
+    fun recordDuration(what: String, ms: Long) {
         times.getOrPut(what) { Histogram(LONGEST_MS, DIGITS) }.recordValue(ms.coerceIn(0, LONGEST_MS))
     }
 
-    fun tellNowAndThen() {
+    fun logPeriodically() {
         if (nowMs() - sinceMs < EVERY_MS) return
         log.info("in {} s: {}; ms (half, 99%): {}", (nowMs() - sinceMs) / 1000, countsText(), timesText())
         sinceMs = nowMs()
--- a/src/main/kotlin/io/otterknot/partition/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -57,7 +57,7 @@
     val fencingToken: Long,
     private val claimedMs: Long,
     /** Until when an earlier owner may have given answers to the machines. */
-    val othersUntilMs: Long,
+    val priorLeaderUntilMs: Long,
     private val times: LeaseTimings,
     random: Random,
     aims: ServiceLevelObjectives,
@@ -100,13 +100,13 @@
 
     /** How far machines that were let go had reported: a copy of an older report must not bring one back. */
     private val lastSeen = HeartbeatHistory { machineList.size }
-    var settled = false
+    var reconciled = false
         private set
 
     private val ledger: PlacementLedger = object : PlacementLedger {
         override val machines get() = machineList
         override val jobs get() = jobList
-        override fun startable(job: PartitionJob) = this@Partition.startable(job)
+        override fun startableTasks(job: PartitionJob) = this@Partition.startableTasks(job)
         override fun pressure(team: Int) = teams.pressure(team)
         override fun book(job: PartitionJob, machine: Machine, now: Long): Attempt {
             val task = job.pending.nextSetBit(0)
@@ -161,7 +161,7 @@
         val left = (held.owned.clone() as BitSet).apply { andNot(owned) }
         held.owned.clear()
         held.owned.or(owned)
-        if (inherited && !settled) held.inDoubt.or(came) else held.pending.or(came)
+        if (inherited && !reconciled) held.inDoubt.or(came) else held.pending.or(came)
         held.pending.andNot(left)
         held.inDoubt.andNot(left)
         held.beingReassigned.andNot(left)
@@ -170,7 +170,7 @@
     }
 
     /** Sets tasks of [held] that wait aside for another partition, up to so many [cores]; the last ones first. */
-    fun setAside(held: PartitionJob, cores: Double): BitSet {
+    fun reserveForReassignment(held: PartitionJob, cores: Double): BitSet {
         var left = if (held.spec.cores >
             0
         ) {
@@ -192,7 +192,7 @@
     }
 
     /** The handover of [tasks] is settled: what still belongs to this partition waits here again. */
-    fun settleHandover(held: PartitionJob, tasks: BitSet) {
+    fun completeReassignment(held: PartitionJob, tasks: BitSet) {
         val kept = (tasks.clone() as BitSet).apply {
             and(held.owned)
             and(held.beingReassigned)
@@ -205,7 +205,7 @@
     }
 
     /** Completions became durable. */
-    fun updateDone(job: Job) {
+    fun applyCompletions(job: Job) {
         val held = job(job.id) ?: return
         held.unrecordedCompletions.andNot(job.done)
         held.pending.andNot(job.done)
@@ -232,13 +232,13 @@
      * Whether another owner would soon be sure of what it gets. While an earlier one may still act, it would have to
      * wait for that one's end before time settles what a single dead machine leaves in doubt.
      */
-    fun mayYield(now: Long): Boolean = settled && now > othersUntilMs
+    fun mayTransferLeadership(now: Long): Boolean = reconciled && now > priorLeaderUntilMs
 
     /** The machines that are registered now. */
-    fun registeredNow(ids: Set<String>) {
+    fun updateRegisteredMachines(ids: Set<String>) {
         registered.clear()
         registered.addAll(ids)
-        retired.retainAll(ids)
+        releasedMachines.retainAll(ids)
         for (machine in machineList) {
             val present = machine.id in ids
             if (present && !machine.registered) scheduler.invalidate()
@@ -247,10 +247,12 @@
     }
 
     /** Machines that report here and must be registered before they may get a task. */
-    fun unregistered(): List<Machine> = machineList.filter { it.reconciled && !it.registered && !it.leaseExpired }
+    fun unregisteredMachines(): List<Machine> = machineList.filter {
+        it.reconciled && !it.registered && !it.leaseExpired
+    }
 
     /** The types of machines that an earlier owner had registered and that have not been heard of yet. */
-    fun unheard(): List<String> = if (settled) {
+    fun unreportedMachineTypes(): List<String> = if (reconciled) {
         emptyList()
     } else {
         unreconciled.filter {
@@ -259,18 +261,18 @@
     }
 
     /** The cloud says that the machine and everything on it is gone. */
-    fun released(id: String) {
-        if (id in registered) retired.add(id)
-        dismiss(id)
+    fun machineReleased(id: String) {
+        if (id in registered) releasedMachines.add(id)
+        forgetMachine(id)
         // Its name never comes back: whatever report still shows it is a late one.
         lastSeen.gone(id)
     }
 
     /** Registered machines that are surely gone; their names never come back, so their keys may go too. */
-    val retired = HashSet<String>()
+    val releasedMachines = HashSet<String>()
 
     /** A machine that the cloud lists no more, long after its lease: should it come back after all, it starts anew. */
-    fun dismiss(id: String) {
+    fun forgetMachine(id: String) {
         unreconciled.remove(id)
         withUnknownTasks.remove(id)
         health.forget(id)
@@ -282,12 +284,13 @@
     }
 
     /** Machines that are to be given back since they hang and hold tasks or doubts up; see [MachineHealth]. */
-    fun hung(now: Long, afterMs: Long): List<String> = health.hung(now, afterMs, if (settled) null else claimedMs)
+    fun unresponsiveMachines(now: Long, afterMs: Long): List<String> =
+        health.hung(now, afterMs, if (reconciled) null else claimedMs)
 
     /**
      * Machines whose reports arrive while answers to them are lost again and again: they do nothing and hold others up.
      */
-    fun unreachable(): List<String> = health.unreachable()
+    fun machinesLosingResponses(): List<String> = health.unreachable()
 
     /**
      * Looks for machines whose lease is surely over, and for doubts that time has settled; places what waits. Where
@@ -316,15 +319,15 @@
         now - machine.leaseStartMs > times.surelyOverMs && now - machine.lastHeartbeatMs > times.surelyOverMs
 
     private fun settle(now: Long) {
-        if (settled) return
+        if (reconciled) return
         // An answer with the new token renews the lease of a machine that still holds an earlier owner's tasks. If it
         // then falls silent, its lease ends that much later than those of machines never heard of.
         unreconciled.removeIf { id ->
-            now - maxOf(othersUntilMs, machine(id)?.leaseStartMs ?: othersUntilMs) >
+            now - maxOf(priorLeaderUntilMs, machine(id)?.leaseStartMs ?: priorLeaderUntilMs) >
                 times.surelyOverMs
         }
         if (!unreconciled.empty) return
-        settled = true
+        reconciled = true
         var count = 0
         for (job in jobList) {
             job.inDoubt.andNot(job.job.done)
@@ -339,7 +342,7 @@
 
     // ---- reports ----------------------------------------------------------------------------------------------
 
-    fun report(report: Heartbeat, now: Long): HeartbeatDecision {
+    fun handleHeartbeat(report: Heartbeat, now: Long): HeartbeatDecision {
         if (report.fencingToken > fencingToken) return HeartbeatDecision.Superseded
         val type = typeOf(report.type) ?: return HeartbeatDecision.Answer(fencingToken, emptyList())
         val known = machine(report.machine)
@@ -398,7 +401,7 @@
     private fun unknowing(machine: Machine, again: Boolean, now: Long) {
         machine.reconciled = false
         if (again) machine.lostResponses++
-        if (now - othersUntilMs <=
+        if (now - priorLeaderUntilMs <=
             times.tooLateMs
         ) {
             machine.leaseStartMs = now
@@ -417,13 +420,13 @@
     // ---- placement --------------------------------------------------------------------------------------------
 
     /** Jobs of which tasks wait, the most urgent first. */
-    fun waitingInOrder(now: Long): List<PartitionJob> = scheduler.order.sorted(jobList, now)
+    fun pendingJobsInOrder(now: Long): List<PartitionJob> = scheduler.order.sorted(jobList, now)
 
     /** What the tasks of a team that are booked here take. */
     fun usage(team: Int): Resources = teams.usage(team)
 
     /** How many more tasks of the job its team's limit and its own spread allow here now. */
-    fun startable(job: PartitionJob): Int {
+    fun startableTasks(job: PartitionJob): Int {
         if (job.team < 0) return 0
         val spec = job.spec
         var count = job.pendingCount
@@ -452,16 +455,16 @@
         if (changed) scheduler.invalidate()
     }
 
-    fun allot(name: String, allotment: QuotaAmount) {
+    fun setQuotaShare(name: String, allotment: QuotaAmount) {
         if (teams.allot(name, allotment)) scheduler.invalidate()
     }
 
     /** What the waiting tasks of a team need here beyond the allotment; nothing while it lets one of each start. */
-    fun need(name: String): QuotaAmount = teams.need(name, jobList)
+    fun quotaNeed(name: String): QuotaAmount = teams.need(name, jobList)
 
     /** What this partition can give of a team's allotment to the partition of [to]. */
-    fun spare(name: String, to: String): QuotaAmount =
-        if (settled) teams.spare(name, jobList, toEarlierZone = to < zone) else QuotaAmount()
+    fun spareQuota(name: String, to: String): QuotaAmount =
+        if (reconciled) teams.spare(name, jobList, toEarlierZone = to < zone) else QuotaAmount()
 
     private fun unknownAmount(): QuotaAmount? {
         val inherited = unreconciled.amount() ?: return null
--- a/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
+++ b/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
@@ -51,7 +51,11 @@
         if (teams.none { it.name == team }) return
         val record = of(team)
         for (partition in partitions.values) {
-            if (partition.zone to team !in giving) partition.allot(team, record.byZone[partition.zone] ?: QuotaAmount())
+            if (partition.zone to team !in
+                giving
+            ) {
+                partition.setQuotaShare(team, record.byZone[partition.zone] ?: QuotaAmount())
+            }
         }
     }
 
@@ -65,11 +69,11 @@
     }
 
     private suspend fun consider(partition: Partition, team: String) {
-        if (ownership.token(partition.zone) != partition.fencingToken || !partition.settled) return
+        if (ownership.token(partition.zone) != partition.fencingToken || !partition.reconciled) return
         val receiver = views.values.firstOrNull { it.zone != partition.zone && team in it.needs } ?: return
         val need = receiver.needs.getValue(team)
         val to = receiver.zone
-        val spare = partition.spare(team, to)
+        val spare = partition.spareQuota(team, to)
         val amount = QuotaAmount(minOf(spare.cores, need.cores), minOf(spare.cards, need.cards))
         if (amount.cores < LEAST && amount.cards < LEAST) return
         give(partition, team, to, amount)
@@ -83,7 +87,7 @@
         val change = CompareAndSwap.put(stored, value)
         if (!limits.fits(change)) return
         giving.add(partition.zone to team)
-        partition.allot(team, mine - amount)
+        partition.setQuotaShare(team, mine - amount)
         try {
             val settled = txn.settle(partition, change)
             log.info("{} gives {} of {} to {}: {}", partition.zone, amount, team, to, settled)
--- a/src/main/kotlin/io/otterknot/ratelimit/RateLimiter.kt
+++ b/src/main/kotlin/io/otterknot/ratelimit/RateLimiter.kt
@@ -121,7 +121,7 @@
     private fun waitMs(changeCount: Int): Long = maxOf(requests.waitMs(), if (changeCount > 0) changes.waitMs() else 0)
 
     /** For what somebody waits for and what is bounded in number. */
-    suspend fun take(changeCount: Int = 0) {
+    suspend fun acquire(changeCount: Int = 0) {
         fill()
         use(changeCount)
         val wait = waitMs(changeCount)
@@ -129,7 +129,7 @@
     }
 
     /** Takes a place only if the wait is at most [maxWaitMs]; false: nothing was taken. */
-    suspend fun tryTake(changeCount: Int, maxWaitMs: Long): Boolean {
+    suspend fun tryAcquire(changeCount: Int, maxWaitMs: Long): Boolean {
         fill()
         use(changeCount)
         val wait = waitMs(changeCount)
@@ -144,7 +144,7 @@
     /**
      * For background tasks: waits until so many changes are there and some are left for users, more of them for [lesser] tasks.
      */
-    suspend fun takeSpare(changeCount: Int, lesser: Boolean = false) =
+    suspend fun acquireSpare(changeCount: Int, lesser: Boolean = false) =
         (if (lesser) lowPriorityTasks else backgroundTasks).withLock {
             while (true) {
                 fill()
@@ -169,7 +169,7 @@
     }
 
     /** Lease renewals never wait: losing a lease costs more than a refused request. */
-    fun takeAtOnce() {
+    fun acquireWithoutWaiting() {
         fill()
         requests.level -= 1
     }
--- a/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
@@ -31,10 +31,10 @@
     }
 
     private suspend fun give(partition: Partition) {
-        if (ownership.token(partition.zone) != partition.fencingToken || !partition.settled) return
+        if (ownership.token(partition.zone) != partition.fencingToken || !partition.reconciled) return
         var moves = 0
         var means = Means(partition)
-        for (held in partition.waitingInOrder(nowMs())) {
+        for (held in partition.pendingJobsInOrder(nowMs())) {
             if (moves >= MOVES) return
             val spec = held.spec
             if (held.finished || spec.zone != null || held.pending.isEmpty) continue
@@ -48,7 +48,10 @@
             val theirs = if (spec.spot) target.cores else target.ordinaryCores
             val amount = gap / 2 * minOf(maxOf(means.cores(spec), 1.0), maxOf(theirs, 1.0))
             if (spec.sameZone && !long && held.pendingCores > amount * 2) continue
-            val tasks = partition.setAside(held, if (spec.sameZone) Double.MAX_VALUE else maxOf(amount, spec.cores))
+            val tasks = partition.reserveForReassignment(
+                held,
+                if (spec.sameZone) Double.MAX_VALUE else maxOf(amount, spec.cores),
+            )
             if (tasks.isEmpty) continue
             moves++
             target.raise(spec, tasks.cardinality())
@@ -62,7 +65,7 @@
     }
 
     private fun target(partition: Partition, spec: JobSpec): PartitionView? = views.values
-        .filter { it.zone != partition.zone && offers(it.zone, spec) && ownership.ownerOf(it.zone) != null }
+        .filter { it.zone != partition.zone && offers(it.zone, spec) && ownership.leaderOf(it.zone) != null }
         .minByOrNull { it.meanFor(spec) }
 
     /** What adds up over all machines and jobs of a partition, added up once between two moves. */
--- a/src/main/kotlin/io/otterknot/reassignment/TaskReassignment.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/TaskReassignment.kt
@@ -30,13 +30,13 @@
         val change = JobTransitions.handOver(held.job, tasks, zone)
         // A value that is too large would be refused.
         if (change == null || !limits.fits(change)) {
-            partition.settleHandover(held, tasks)
+            partition.completeReassignment(held, tasks)
             return Outcome.STAYED
         }
         val settled = txn.settle(partition, change)
         if (settled == FencedTransactions.Settled.PART_LOST) return Outcome.PARTITION_LOST
         log.debug("{}: {} tasks of {} to {}: {}", partition.zone, tasks.cardinality(), held.id, zone, settled)
-        partition.settleHandover(held, tasks)
+        partition.completeReassignment(held, tasks)
         return if (settled == FencedTransactions.Settled.APPLIED) Outcome.MOVED else Outcome.STAYED
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
@@ -145,7 +145,7 @@
 
     private fun pause(partition: Partition, now: Long): PauseReason? = when {
         !host.mayActFor(partition) -> PauseReason.NOT_OWNER
-        !partition.settled || now <= partition.othersUntilMs -> PauseReason.IN_DOUBT
+        !partition.reconciled || now <= partition.priorLeaderUntilMs -> PauseReason.IN_DOUBT
         !host.hasState -> PauseReason.OUTAGE
         now < slowUntilMs -> PauseReason.SLOW
         else -> null
--- a/src/main/kotlin/io/otterknot/rebalance/Mover.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/Mover.kt
@@ -77,7 +77,7 @@
             journal.ended(move, MoveState.ABANDONED, MoveOutcome.TASK_GONE)
             return
         }
-        val tasks = partition.setAside(job, move.cores)
+        val tasks = partition.reserveForReassignment(job, move.cores)
         if (tasks.isEmpty) {
             journal.ended(move, MoveState.ABANDONED, MoveOutcome.TASK_GONE)
             return
--- a/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
@@ -32,7 +32,7 @@
         now: Long,
         wallMs: Long,
     ): PlannerSnapshot {
-        val inOrder = partition.waitingInOrder(now)
+        val inOrder = partition.pendingJobsInOrder(now)
         looks += inOrder.size
         history.look(inOrder, now, wallMs)
         val waiting = examined(inOrder).map { waiting(partition, it, history, now, wallMs) }
@@ -65,7 +65,13 @@
         WaitingJob(
             spec = job.spec,
             waiting = job.pendingCount,
-            startable = if (job.retryAtMs > now) 0 else minOf(job.pendingCount, maxOf(0, partition.startable(job))),
+            startable = if (job.retryAtMs >
+                now
+            ) {
+                0
+            } else {
+                minOf(job.pendingCount, maxOf(0, partition.startableTasks(job)))
+            },
             covered = job.covered,
             waitedS = (wallMs - job.readyMs) / 1000.0,
             allWaits = job.allTasksPending,
--- a/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
@@ -85,7 +85,7 @@
         now: Long,
     ): List<Pair<WaitCause, Int>> {
         if (job.retryAtMs > now) return listOf(WaitCause.RETRY to job.pendingCount)
-        val startable = minOf(job.pendingCount, maxOf(0, partition.startable(job)))
+        val startable = minOf(job.pendingCount, maxOf(0, partition.startableTasks(job)))
         val limited = WaitCause.LIMIT to job.pendingCount - startable
         return listOf(limited, withoutRoom(partition, job, roomy, cluster) to startable)
     }
--- a/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
@@ -30,7 +30,7 @@
     val jobs: List<PartitionJob>
 
     /** How many more tasks of the job its team's limit and its own spread allow here now. */
-    fun startable(job: PartitionJob): Int
+    fun startableTasks(job: PartitionJob): Int
 
     /** What the team uses, by its share. */
     fun pressure(team: Int): Double
@@ -54,7 +54,7 @@
 ) {
     val order = SchedulingQueue(aims, wallOf)
     private val roomMaker = Preemptor(
-        startable = { minOf(it.pendingCount, ledger.startable(it)) },
+        startable = { minOf(it.pendingCount, ledger.startableTasks(it)) },
         patient = { wallOf(passMs) - it.readyMs < aims.patienceMs(it.spec) },
         stop = ledger::stop,
     )
@@ -173,7 +173,7 @@
     }
 
     private fun mayStart(job: PartitionJob, now: Long) =
-        !job.pending.isEmpty && job.retryAtMs <= now && ledger.startable(job) > 0
+        !job.pending.isEmpty && job.retryAtMs <= now && ledger.startableTasks(job) > 0
 
     private fun fits(job: PartitionJob, machine: Machine, now: Long) =
         machine.isAllowedFor(job.spec) && hasRoom(job, machine) && !machine.avoids(job.id, now)
--- a/src/main/kotlin/io/otterknot/store/BatchWriter.kt
+++ b/src/main/kotlin/io/otterknot/store/BatchWriter.kt
@@ -44,13 +44,13 @@
         val batch = nextBatch(writes)
         if (batch.isEmpty()) return false
         val change = batch.map { it.from(replica.snapshot(it.key)) }.reduce(CompareAndSwap::plus).onlyWhile(owner)
-        client.budget.takeSpare(change.size)
+        client.budget.acquireSpare(change.size)
         when (val outcome = client.txn(change)) {
-            is TransactionOutcome.Applied -> replica.reach(outcome.revision, REACH_MS)
+            is TransactionOutcome.Applied -> replica.awaitRevision(outcome.revision, REACH_MS)
 
             is TransactionOutcome.Conflict -> {
                 log.debug("batch of {} refused by {}", change.size, outcome.failed)
-                if (owner.key in outcome.failed) onGuardLost() else replica.reach(outcome.revision, REACH_MS)
+                if (owner.key in outcome.failed) onGuardLost() else replica.awaitRevision(outcome.revision, REACH_MS)
             }
 
             is TransactionOutcome.Refused, is TransactionOutcome.Unknown -> {
--- a/src/main/kotlin/io/otterknot/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/io/otterknot/store/KeyValueStoreClient.kt
@@ -52,7 +52,7 @@
 ) {
 
     suspend fun list(prefix: String, after: String?): KeyValuePage? {
-        budget.take()
+        budget.acquire()
         figures.count("lists")
         val from = if (after == null) "" else "&After=$after"
         return decode(KeyValuePage.serializer(), call(http, "GET", "/store?Under=$prefix$from&Page=200", null, LIST_MS))
@@ -60,13 +60,13 @@
 
     /** The revision that the service has reached, read from an absent key; null if it does not say. */
     suspend fun revision(): Long? {
-        budget.take()
+        budget.acquire()
         return readRevision()
     }
 
     /** The same for the lease's sake, which waits for nobody's turn. */
     suspend fun revisionAtOnce(): Long? {
-        budget.takeAtOnce()
+        budget.acquireWithoutWaiting()
         return readRevision()
     }
 
@@ -110,13 +110,13 @@
     }
 
     suspend fun grantLease(ttlMs: Long): Long? {
-        budget.takeAtOnce()
+        budget.acquireWithoutWaiting()
         val body = WireJson.encodeToString(LeaseRequest.serializer(), LeaseRequest(ttlMs)).encodeToByteArray()
         return decode(LeaseGrant.serializer(), call(http, "POST", "/holds", body, GRANT_MS))?.lease
     }
 
     suspend fun renewLease(lease: Long): LeaseRenewal {
-        budget.takeAtOnce()
+        budget.acquireWithoutWaiting()
         figures.count("renewals")
         val reply = call(http, "POST", "/holds/$lease/extend", EMPTY, RENEW_MS)
         return when ((reply as? Reply.Answer)?.status) {
@@ -127,7 +127,7 @@
     }
 
     suspend fun watch(prefix: String, after: Long, waitMs: Long): WatchResult {
-        budget.take()
+        budget.acquire()
         figures.count("watches")
         val reply = call(
             watchHttp,
--- a/src/main/kotlin/io/otterknot/store/StoreReplica.kt
+++ b/src/main/kotlin/io/otterknot/store/StoreReplica.kt
@@ -66,7 +66,7 @@
         }
 
     /** Keeps the copy up to date until cancelled. */
-    suspend fun follow() {
+    suspend fun followWatch() {
         while (true) {
             if (!loaded) {
                 if (!load()) {
@@ -114,7 +114,7 @@
      * Changes that the store is known to hold do not come: the watch is given up and opened anew, on whatever way is
      * good now.
      */
-    fun reopen() {
+    fun reopenWatch() {
         stuck.trySend(Unit)
     }
 
@@ -180,7 +180,7 @@
     }
 
     /** Waits until this copy holds all changes up to [revision]; false if it does not in time. */
-    suspend fun reach(revision: Long, timeoutMs: Long): Boolean {
+    suspend fun awaitRevision(revision: Long, timeoutMs: Long): Boolean {
         if (reached.value < revision) awaited.trySend(Unit)
         return withTimeoutOrNull(timeoutMs) { reached.first { it >= revision } } != null
     }
@@ -189,12 +189,12 @@
      * Waits until this copy holds everything that was in the store when the call began. One read serves all that
      * wait; false if the state service does not answer or the watch does not catch up in time.
      */
-    suspend fun upToDate(timeoutMs: Long): Boolean {
+    suspend fun awaitReadBarrier(timeoutMs: Long): Boolean {
         if (!loaded) return false
         val place = barrier.enter()
         val began = nowMs()
         val caughtUp = withTimeoutOrNull(timeoutMs) { place.await() } ?: false
-        client.figures.took("barrier", nowMs() - began)
+        client.figures.recordDuration("barrier", nowMs() - began)
         return caughtUp
     }
 
@@ -218,8 +218,8 @@
                 val served = waiting
                 waiting = ArrayList()
                 val target = client.revision()
-                val caughtUp = target != null && reach(target, BARRIER_MS)
-                if (target != null && !caughtUp) reopen()
+                val caughtUp = target != null && awaitRevision(target, BARRIER_MS)
+                if (target != null && !caughtUp) reopenWatch()
                 served.forEach { it.complete(caughtUp) }
                 // Reads that come close together are served together, unless requests are ample.
                 delay(if (client.budget.requestsAmple) pauseMs / AMPLE_PAUSE_SHARE else pauseMs)
--- a/src/test/kotlin/io/otterknot/api/JobCancellationTest.kt
+++ b/src/test/kotlin/io/otterknot/api/JobCancellationTest.kt
@@ -36,12 +36,12 @@
             }, { emptyList() }, emptyList(), WriteLimits(8_192, 40),
             { false }, bench.now, Random(1),
         )
-        val background = listOf(launch { replica.follow() }, launch { replica.serveBarrier() })
+        val background = listOf(launch { replica.followWatch() }, launch { replica.serveBarrier() })
         replica.awaitLoaded()
         bench.state.store(jobChange(id, JobRecord(spec, listOf(TaskSpan("a", 0, 1)))))
         delay(200)
         // The burst is used up, so the cancellation waits for most of a second.
-        repeat(7) { launch { bench.budget.tryTake(1, 2_000) } }
+        repeat(7) { launch { bench.budget.tryAcquire(1, 2_000) } }
         val answer = async { api.withdraw(id) }
         delay(100)
         assertTrue(answer.isActive, "it waits")
--- a/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
+++ b/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
@@ -39,9 +39,9 @@
             "n", listOf("a"), mapOf("n" to "a"), client, replica, 20_000, bench.now, Random(1),
             machines = { emptySet() }, onClaim = { _, _, _ -> }, onLoss = {}, mayClaim = { true },
         )
-        launch { replica.follow() }
-        launch { ownership.keepLease() }
-        launch { ownership.claimPartitions() }
+        launch { replica.followWatch() }
+        launch { ownership.keepStoreLease() }
+        launch { ownership.acquirePartitions() }
         while (ownership.token("a") == null) delay(50)
         val completions = CompletionSegmentRecord(ids.associateWith { "AQ" })
         val done =
--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -16,7 +16,7 @@
 import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.store.ReplicaEntry
 import io.otterknot.store.WriteLimits
-import io.otterknot.testing.take
+import io.otterknot.testing.applyRecord
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.KeyChange
 import io.otterknot.wire.MachineType
@@ -56,7 +56,7 @@
         )
 
     /** The jobs of which the table says that something else holds now. */
-    private fun put(record: JobRecord, number: Int): List<String> = table.changeJob(
+    private fun put(record: JobRecord, number: Int): List<String> = table.applyJobChange(
         StoreKeys.job(id(number)),
         ReplicaEntry(encodeRecord(JobRecord.serializer(), record), ++revision),
     ).map {
@@ -108,8 +108,10 @@
     fun `the order in which a restarted controller reads the jobs does not matter`() {
         for (order in listOf(listOf(1, 2, 3, 4), listOf(4, 3, 2, 1), listOf(3, 1, 4, 2))) {
             val read = JobTable()
-            fun take(number: Int, record: JobRecord) =
-                read.changeJob(StoreKeys.job(id(number)), ReplicaEntry(encodeRecord(JobRecord.serializer(), record), 1))
+            fun take(number: Int, record: JobRecord) = read.applyJobChange(
+                StoreKeys.job(id(number)),
+                ReplicaEntry(encodeRecord(JobRecord.serializer(), record), 1),
+            )
             val records = mapOf(
                 1 to JobRecord(final = TerminalState.CANCELLED),
                 2 to JobRecord(final = TerminalState.DONE, endedMs = 9),
@@ -138,7 +140,7 @@
                     },
                     if (number == 4) 90.0 else null,
                 )
-                lending.changeJob(
+                lending.applyJobChange(
                     StoreKeys.job(id(number)),
                     ReplicaEntry(encodeRecord(JobRecord.serializer(), JobRecord(spec)), 1),
                 )
@@ -170,7 +172,7 @@
         assertEquals(TerminalState.CANCELLED, outcome(6), "submitted after the cancellation")
         val completions =
             encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(mapOf(id(4) to "Aw")))
-        table.changeDone(StoreKeys.done("a", "1-0"), ReplicaEntry(completions, ++revision))
+        table.applyCompletionSegment(StoreKeys.done("a", "1-0"), ReplicaEntry(completions, ++revision))
         assertTrue(!table[id(4)]!!.complete, "it is never called done")
     }
 
@@ -282,7 +284,7 @@
         submit(3, 2, priority = Priority.HIGH, dueS = 60.0)
         submit(4, 3)
         for (number in 1..4) partition.updateJob(table[id(number)]!!, inherited = false)
-        assertEquals(listOf(id(2), id(1)), partition.waitingInOrder(10_000).map { it.id })
+        assertEquals(listOf(id(2), id(1)), partition.pendingJobsInOrder(10_000).map { it.id })
         assertEquals(Priority.HIGH, partition.job(id(2))!!.spec.priority)
         end(3, TerminalState.CANCELLED).forEach { partition.updateJob(table[it]!!, inherited = false) }
         assertEquals(Priority.BEST_EFFORT, partition.job(id(2))!!.spec.priority)
@@ -310,9 +312,9 @@
                         StoreKeys.JOBS,
                     )
                 ) {
-                    read.changeJob(change.key, entry)
+                    read.applyJobChange(change.key, entry)
                 } else {
-                    read.changeAwaits(change.key, entry)
+                    read.applyDependencySegment(change.key, entry)
                 }
                 assertTrue(said.none { it.ready }, "not all has been read")
                 if (index == order.size - 1) assertEquals(list(900).toSet(), read[id(1)]!!.dependencies.ids)
--- a/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
@@ -25,12 +25,12 @@
     private val spec = smallJob(id, tasks = 2)
 
     private fun record(record: JobRecord, version: Long): (JobTable) -> Unit =
-        { it.changeJob(key, ReplicaEntry(encodeRecord(JobRecord.serializer(), record), version)) }
+        { it.applyJobChange(key, ReplicaEntry(encodeRecord(JobRecord.serializer(), record), version)) }
 
     /** A segment of an owner with [token], in which the tasks in [bits] are done. */
     private fun segment(token: Int, bits: String, version: Long): (JobTable) -> Unit = {
         val value = encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(mapOf(id to bits)))
-        it.changeDone(StoreKeys.done("a", "$token-0"), ReplicaEntry(value, version))
+        it.applyCompletionSegment(StoreKeys.done("a", "$token-0"), ReplicaEntry(value, version))
     }
 
     private val accepted = record(JobRecord(spec, listOf(TaskSpan("a", 0, 2))), 1)
--- a/src/test/kotlin/io/otterknot/leadership/PartitionLeadershipTest.kt
+++ b/src/test/kotlin/io/otterknot/leadership/PartitionLeadershipTest.kt
@@ -13,7 +13,7 @@
 import io.otterknot.records.TerminalState
 import io.otterknot.records.encodeRecord
 import io.otterknot.store.ReplicaEntry
-import io.otterknot.testing.take
+import io.otterknot.testing.applyRecord
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.ExperimentalCoroutinesApi
@@ -72,11 +72,11 @@
     @Test
     fun `the budget spreads requests over time and refuses instead of waiting long`() = runTest {
         val budget = RateLimiter(10.0, 5.0, { testScheduler.currentTime })
-        repeat(40) { budget.take() }
+        repeat(40) { budget.acquire() }
         assertTrue(currentTime in 3_000..3_500, "$currentTime")
-        repeat(4) { budget.take(1) }
-        assertTrue(!budget.tryTake(5, 200))
-        assertTrue(budget.tryTake(1, 2_000))
+        repeat(4) { budget.acquire(1) }
+        assertTrue(!budget.tryAcquire(5, 200))
+        assertTrue(budget.tryAcquire(1, 2_000))
     }
 
     /** A poll behind a long batch of completions, or a submission behind a queue of handovers, would be refused. */
@@ -84,17 +84,17 @@
     @Test
     fun `reads do not wait for changes, and users not for background tasks`() = runTest {
         val budget = RateLimiter(50.0, 5.0, { testScheduler.currentTime })
-        repeat(4) { launch { budget.takeSpare(4) } }
-        repeat(4) { launch { budget.takeSpare(1, lesser = true) } }
+        repeat(4) { launch { budget.acquireSpare(4) } }
+        repeat(4) { launch { budget.acquireSpare(1, lesser = true) } }
         // Submissions in a burst go into debt for a while.
-        repeat(3) { launch { assertTrue(budget.tryTake(3, 5_000)) } }
+        repeat(3) { launch { assertTrue(budget.tryAcquire(3, 5_000)) } }
         testScheduler.runCurrent()
         val before = currentTime
-        budget.take()
+        budget.acquire()
         assertEquals(before, currentTime)
         delay(2_500)
         for (round in 1..6) {
-            assertTrue(budget.tryTake(1, 600), "submission $round")
+            assertTrue(budget.tryAcquire(1, 600), "submission $round")
             delay(400)
         }
     }
@@ -104,10 +104,10 @@
     @Test
     fun `background tasks leave some changes to users`() = runTest {
         val budget = RateLimiter(1_000.0, 10.0, { testScheduler.currentTime })
-        repeat(3) { launch { while (currentTime < 20_000) budget.takeSpare(2) } }
+        repeat(3) { launch { while (currentTime < 20_000) budget.acquireSpare(2) } }
         repeat(10) {
             delay(1_500)
-            assertTrue(budget.tryTake(1, 0) && budget.tryTake(1, 0), "round $it")
+            assertTrue(budget.tryAcquire(1, 0) && budget.tryAcquire(1, 0), "round $it")
         }
     }
 
@@ -120,7 +120,7 @@
             val until = currentTime + ms
             var count = 0
             while (currentTime < until) {
-                budget.takeSpare(1)
+                budget.acquireSpare(1)
                 count++
             }
             return count
@@ -180,7 +180,7 @@
         val figures = Metrics { 0 }
         figures.count("changes", 3)
         figures.count("changes")
-        for (ms in 1L..100L) figures.took("barrier", ms)
+        for (ms in 1L..100L) figures.recordDuration("barrier", ms)
         assertEquals("changes 4", figures.countsText())
         assertEquals("barrier 50, 99", figures.timesText())
     }
@@ -321,7 +321,7 @@
     @OptIn(ExperimentalCoroutinesApi::class)
     private suspend fun TestScope.secondsFor(budget: RateLimiter, changes: Int): Long {
         val before = currentTime
-        repeat(changes) { budget.takeSpare(1) }
+        repeat(changes) { budget.acquireSpare(1) }
         return (currentTime - before) / 1000
     }
 
@@ -371,7 +371,7 @@
         val table = JobTable()
         val spec =
             JobSpec("j-1", "k", "t", Priority.HIGH, 4, 1.0, memoryGb = 1.0, image = "i", imageGb = 1.0, estimateS = 1.0)
-        fun job(id: String, final: TerminalState?) = table.changeJob(
+        fun job(id: String, final: TerminalState?) = table.applyJobChange(
             StoreKeys.job(id),
             ReplicaEntry(
                 encodeRecord(
@@ -387,7 +387,7 @@
                 1,
             ),
         )
-        fun segment(bits: Map<String, String>) = table.changeDone(
+        fun segment(bits: Map<String, String>) = table.applyCompletionSegment(
             StoreKeys.done("a", "7-0"),
             ReplicaEntry(encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(bits)), 2),
         ).map {
@@ -399,7 +399,7 @@
         assertEquals(listOf("j-2"), segment(mapOf("j-1" to "Aw", "j-2" to "DA")))
         assertEquals(listOf(2, 2), listOf(table["j-1"]!!.done.cardinality(), table["j-2"]!!.done.cardinality()))
         job("j-1", TerminalState.CANCELLED)
-        assertTrue(!table.matters("j-1") && table.matters("j-2") && table.matters("j-3.1"))
+        assertTrue(!table.isStillNeeded("j-1") && table.isStillNeeded("j-2") && table.isStillNeeded("j-3.1"))
         assertEquals(listOf("j-2"), segment(mapOf("j-1" to "Dw", "j-2" to "Dw")))
         assertTrue(table["j-2"]!!.complete)
     }
--- a/src/test/kotlin/io/otterknot/load/LoopbackLoad.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackLoad.kt
@@ -3,9 +3,9 @@
 import io.otterknot.config.TeamSettings
 import io.otterknot.http.HttpClient
 import io.otterknot.net.EventLoop
+import io.otterknot.testing.applyRecord
 import io.otterknot.testing.smallJob
 import io.otterknot.testing.submissionBody
-import io.otterknot.testing.take
 import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
--- a/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
@@ -6,7 +6,7 @@
 import io.otterknot.records.TaskSpan
 import io.otterknot.records.TerminalState
 import io.otterknot.scheduling.ServiceLevelObjectives
-import io.otterknot.testing.take
+import io.otterknot.testing.applyRecord
 import io.otterknot.wire.Command
 import io.otterknot.wire.Heartbeat
 import io.otterknot.wire.JobSpec
@@ -47,7 +47,7 @@
         priority: Priority = Priority.HIGH,
         team: String = "red",
     ) = Job("j-%06d".format(id)).also {
-        it.take(
+        it.applyRecord(
             JobRecord(
                 JobSpec(it.id, "k", team, priority, tasks, cores, 0.0, 1.0, "i", 1.0, spot = true, estimateS = 5.0),
                 listOf(TaskSpan("a", 0, tasks)),
@@ -63,7 +63,7 @@
         session: Long = 1,
         seq: Long? = null,
         noticeS: Double? = null,
-    ): HeartbeatDecision = report(
+    ): HeartbeatDecision = handleHeartbeat(
         Heartbeat(
             machine, "", "big", "a", false, session,
             seq ?: seqs.merge(
@@ -86,7 +86,7 @@
     /** A machine that is known, registered and idle. */
     private fun Partition.ready(vararg machines: String) {
         machines.forEach { hear(it, fencingToken, 1) }
-        registeredNow(this.machines.map { it.id }.toSet())
+        updateRegisteredMachines(this.machines.map { it.id }.toSet())
     }
 
     @Test
@@ -98,9 +98,9 @@
             partition.hear("m1", 3, 100, TaskStatus("j-000001/0", 9, "running")),
         )
         assertTrue(partition.hear("m1", 7, 200, TaskStatus("j-000001/0", 9, "running")).commands().isEmpty())
-        assertTrue(!partition.settled, "m2 may hold the other tasks")
+        assertTrue(!partition.reconciled, "m2 may hold the other tasks")
         assertTrue(partition.hear("m2", 3, 300).commands().isEmpty())
-        assertTrue(!partition.settled, "m2 has not seen the token")
+        assertTrue(!partition.reconciled, "m2 has not seen the token")
         val started =
             partition.hear("m2", 7, 400).starts() +
                 partition.hear("m1", 7, 500, TaskStatus("j-000001/0", 9, "running")).starts()
@@ -114,8 +114,8 @@
             partition.updateJob(job(1, 1), inherited = true)
             partition.hear("m1", 7, 100)
             partition.sweep(10_000)
-            assertTrue(!partition.settled)
-            if (released) partition.released("gone")
+            assertTrue(!partition.reconciled)
+            if (released) partition.machineReleased("gone")
             partition.sweep(if (released) 10_000 else 10_800)
             assertEquals(1, partition.hear("m1", 7, 10_900).starts().size)
         }
@@ -193,7 +193,7 @@
         assertTrue(partition.hear("m1", 7, 20, start.shown("exited", "done")).commands().isEmpty())
         assertTrue(partition.job(job.id)!!.unrecordedCompletions.get(0))
         job.done.set(0)
-        partition.updateDone(job)
+        partition.applyCompletions(job)
         assertEquals(
             listOf("forget"),
             partition.hear("m1", 7, 30, start.shown("exited", "done")).commands().map {
@@ -210,7 +210,7 @@
         partition.updateJob(job, inherited = false)
         val starts = partition.hear("m1", 7, 10).starts()
         assertEquals(4, starts.size)
-        job.take(JobRecord(final = TerminalState.CANCELLED), 2)
+        job.applyRecord(JobRecord(final = TerminalState.CANCELLED), 2)
         partition.updateJob(job, inherited = false)
         val commands = partition.hear("m1", 7, 20, *starts.map { it.shown() }.toTypedArray()).commands()
         assertEquals(List(4) { "halt" }, commands.map { it.op })
@@ -221,14 +221,14 @@
     fun `a team keeps to its allotment, also while a machine is not known yet`() {
         val partition = partition(listOf("unknown"), limit = 10.0)
         partition.hear("m1", 7, 1)
-        partition.registeredNow(setOf("m1", "unknown"))
+        partition.updateRegisteredMachines(setOf("m1", "unknown"))
         partition.updateJob(job(1, 4), inherited = false)
         assertEquals(
             1,
             partition.hear("m1", 7, 10).starts().size,
             "eight of ten cores may be in use on the unknown machine",
         )
-        partition.released("unknown")
+        partition.machineReleased("unknown")
         partition.sweep(20)
         assertEquals(4, partition.hear("m1", 7, 30).starts().size)
         partition.updateJob(job(2, 4), inherited = false)
@@ -245,7 +245,7 @@
         partition.hear("m2", 7, 10)
         for (now in listOf(20L, 30L)) {
             assertEquals(listOf("halt"), partition.hear("m1", 7, now, running).commands().map { it.op })
-            assertTrue(partition.settled)
+            assertTrue(partition.reconciled)
             assertTrue(partition.hear("m2", 7, now + 1).starts().size <= 1, "all of m1 may be the team's")
         }
         partition.hear("m1", 7, 40, running.copy(state = "exited", cause = "stopped"))
@@ -270,16 +270,16 @@
                 }.toTypedArray(),
             )
         }
-        job.take(JobRecord(final = TerminalState.CANCELLED), 2)
+        job.applyRecord(JobRecord(final = TerminalState.CANCELLED), 2)
         partition.updateJob(job, inherited = false)
         partition.sweep(9_000)
-        assertEquals(emptyList<String>(), partition.hung(9_000, 20_000))
+        assertEquals(emptyList<String>(), partition.unresponsiveMachines(9_000, 20_000))
         partition.sweep(10_900)
-        assertEquals(listOf("m1", "m2"), partition.hung(10_900, 20_000).sorted())
+        assertEquals(listOf("m1", "m2"), partition.unresponsiveMachines(10_900, 20_000).sorted())
         partition.hear("m1", 7, 11_000, session = 2, seq = 1)
-        assertEquals(listOf("m2"), partition.hung(11_000, 20_000), "it is back, with nothing")
-        partition.released("m2")
-        assertEquals(emptyList<String>(), partition.hung(11_000, 20_000))
+        assertEquals(listOf("m2"), partition.unresponsiveMachines(11_000, 20_000), "it is back, with nothing")
+        partition.machineReleased("m2")
+        assertEquals(emptyList<String>(), partition.unresponsiveMachines(11_000, 20_000))
     }
 
     @Test
@@ -333,7 +333,7 @@
         val job = job(1, 6)
         partition.updateJob(job, inherited = false)
         val held = partition.job(job.id)!!
-        val aside = partition.setAside(held, 8.0)
+        val aside = partition.reserveForReassignment(held, 8.0)
         assertEquals(4, aside.cardinality())
         partition.ready("m1")
         assertEquals(listOf("j-000001/0", "j-000001/1"), partition.hear("m1", 7, 10).starts().map { it.task })
@@ -341,7 +341,7 @@
         partition.hear("m3", 7, 20, TaskStatus("j-000001/5", 9, "running"))
         partition.hear("m3", 7, 30, session = 2, seq = 1)
         assertTrue(!held.pending.get(5) && !held.active.containsKey(5))
-        partition.settleHandover(held, aside)
+        partition.completeReassignment(held, aside)
         assertEquals(4, held.pendingCount)
     }
 
@@ -358,7 +358,7 @@
         ids.forEach { partition.hear(it, 3, 100) }
         typesAsked = 0
         ids.dropLast(1).forEach { partition.hear(it, 7, 200) }
-        assertTrue(!partition.settled)
+        assertTrue(!partition.reconciled)
         assertTrue(typesAsked < 5 * machines, "$typesAsked looked up for $machines reports")
     }
 
@@ -374,15 +374,17 @@
         val partition = partition(ids)
         partition.updateJob(job(1, 1), inherited = true)
         ids.drop(missing).forEach { partition.hear(it, 7, now - 500) }
-        assertEquals(ids.take(returned), partition.hung(now, 7_500).sorted())
-        assertTrue(!partition.settled)
+        assertEquals(ids.take(returned), partition.unresponsiveMachines(now, 7_500).sorted())
+        assertTrue(!partition.reconciled)
     }
 
     @Test
     fun `a partition is given up only once nobody before its owner may act`() {
         val partition = partition(othersUntil = 20_000)
         partition.sweep(10)
-        assertTrue(partition.settled && !partition.mayYield(19_000) && partition.mayYield(21_000))
+        assertTrue(
+            partition.reconciled && !partition.mayTransferLeadership(19_000) && partition.mayTransferLeadership(21_000),
+        )
     }
 
     /** Waiting for the loss instead would make a task late by the whole notice. */
@@ -448,9 +450,13 @@
             if (now > 3_000) assertTrue(partition.machines.first { it.id == "deaf" }.losesResponses)
         }
         assertTrue(tries <= 7, "$tries")
-        assertTrue("deaf" in partition.unreachable())
+        assertTrue("deaf" in partition.machinesLosingResponses())
         partition.sweep(12_100, slow = true)
-        assertEquals(emptyList<String>(), partition.unreachable(), "this node is slow, and no machine to blame")
+        assertEquals(
+            emptyList<String>(),
+            partition.machinesLosingResponses(),
+            "this node is slow, and no machine to blame",
+        )
         val alone = partition()
         alone.ready("deaf", "m1", "m2", "m3")
         alone.updateJob(job(2, 60, cores = 1.0), inherited = false)
@@ -468,7 +474,7 @@
             }
             alone.sweep(now)
         }
-        assertEquals(listOf("deaf"), alone.unreachable())
+        assertEquals(listOf("deaf"), alone.machinesLosingResponses())
     }
 
     @Test
@@ -484,7 +490,7 @@
         }
         partition.hear(start.first, 7, 20, start.second.shown())
         val seen = seqs.getValue(start.first)
-        for (leave in listOf<(String) -> Unit>(partition::dismiss, partition::released)) {
+        for (leave in listOf<(String) -> Unit>(partition::forgetMachine, partition::machineReleased)) {
             leave(start.first)
             assertEquals(HeartbeatDecision.Stale, partition.hear(start.first, 7, 30, start.second.shown(), seq = seen))
             assertEquals(null, partition.machine(start.first))
@@ -503,7 +509,7 @@
         partition.updateJob(job(1, 500, cores = 1.0), inherited = false)
         partition.updateJob(
             job(2, 500, cores = 1.0, priority = Priority.BEST_EFFORT, team = "blue").also {
-                it.take(it.record!!.copy(submittedMs = 1))
+                it.applyRecord(it.record!!.copy(submittedMs = 1))
             },
             inherited = false,
         )
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
@@ -14,8 +14,8 @@
 import io.otterknot.records.TerminalState
 import io.otterknot.scheduling.PartitionView
 import io.otterknot.scheduling.ServiceLevelObjectives
+import io.otterknot.testing.applyRecord
 import io.otterknot.testing.smallJob
-import io.otterknot.testing.take
 import io.otterknot.wire.Command
 import io.otterknot.wire.Heartbeat
 import io.otterknot.wire.MachineType
@@ -47,7 +47,7 @@
                 team = team, priority = priority, cores = 4.0, memoryGb = 1.0, image = "i", imageGb = 1.0, spot = true,
                 estimateS = 30.0, checkpointS = checkpointS, saveS = if (checkpointS > 0) 4.0 else 0.0,
             )
-            it.take(JobRecord(spec, listOf(TaskSpan("a", 0, tasks))))
+            it.applyRecord(JobRecord(spec, listOf(TaskSpan("a", 0, tasks))))
         }
 
     private fun Partition.hear(
@@ -58,7 +58,7 @@
     ): List<Command> {
         val seq = seqs.merge(machine, 1, Long::plus)!!
         val report = Heartbeat(machine, "", "big", "a", false, 1, seq, fencingToken, noticeS, tasks.toList())
-        return (report(report, now) as HeartbeatDecision.Answer).commands
+        return (handleHeartbeat(report, now) as HeartbeatDecision.Answer).commands
     }
 
     private fun Command.shown(state: String = "running", cause: String? = null) =
@@ -70,7 +70,7 @@
         partition.updateJob(job(1, 4, "red", checkpointS = checkpointS), inherited = false)
         val machines = listOf("m1", "m2")
         machines.forEach { partition.hear(it, 2) }
-        partition.registeredNow(machines.toSet())
+        partition.updateRegisteredMachines(machines.toSet())
         return machines.associateWith { machine ->
             val starts = partition.hear(machine, 10).filter { it.op == "start" }
             partition.hear(machine, 1_000, *starts.map { it.shown() }.toTypedArray())
@@ -159,7 +159,7 @@
         val move = move(first)
         partition.updateJob(
             job(1, 4, "red").also {
-                it.take(JobRecord(final = TerminalState.CANCELLED))
+                it.applyRecord(JobRecord(final = TerminalState.CANCELLED))
             },
             inherited = false,
         )
@@ -220,7 +220,7 @@
         assertEquals(MoveState.STOPPED, move.state)
         assertTrue(after.none { it.op == "start" }, "a machine under a notice takes nothing")
         val late = Heartbeat("m1", "", "big", "a", false, 1, 2, 7, null, listOf(first.shown()))
-        assertEquals(HeartbeatDecision.Stale, partition.report(late, 4_500))
+        assertEquals(HeartbeatDecision.Stale, partition.handleHeartbeat(late, 4_500))
         assertTrue(!partition.machine("m1")!!.attempts.containsKey(first.attempt))
     }
 
@@ -241,7 +241,7 @@
         partition.sweep(1)
         val names = List(machines) { "m-$it" }
         names.forEach { partition.hear(it, 2) }
-        partition.registeredNow(names.toSet())
+        partition.updateRegisteredMachines(names.toSet())
         partition.updateJob(job(1, machines * 2, "red"), inherited = false)
         partition.waitingWork.follow(partition.jobs)
         val starts = names.associateWith { name -> partition.hear(name, 10).filter { it.op == "start" } }
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -51,8 +51,8 @@
 import io.otterknot.store.Snapshot
 import io.otterknot.store.WriteLimits
 import io.otterknot.testing.StoreFixture
+import io.otterknot.testing.applyRecord
 import io.otterknot.testing.jobChange
-import io.otterknot.testing.take
 import io.otterknot.wire.Command
 import io.otterknot.wire.ExitCause
 import io.otterknot.wire.Heartbeat
@@ -490,7 +490,7 @@
     }
 
     private suspend fun Node.start() = CoroutineScope(currentCoroutineContext()).run {
-        launch { bench.replica.follow() }
+        launch { bench.replica.followWatch() }
         launch { bench.replica.serveBarrier() }
         bench.replica.awaitLoaded()
     }
@@ -614,8 +614,8 @@
         start()
         bench.state.store(KeyChange("o/p/b", WireJson.parseToJsonElement("""{"o":"holt-b","i":"x"}""")))
         val scope = CoroutineScope(currentCoroutineContext())
-        scope.launch { ownership.keepLease() }
-        scope.launch { ownership.claimPartitions() }
+        scope.launch { ownership.keepStoreLease() }
+        scope.launch { ownership.acquirePartitions() }
         delay(10_000)
         val report = PROTOCOL_REPORT.replace("\"Warrant\":41", "\"Warrant\":0")
         val claimed = router.ask("POST /v1/report", report)
@@ -645,17 +645,19 @@
     fun `workers are told commands so`() = onNode {
         start()
         val scope = CoroutineScope(currentCoroutineContext())
-        scope.launch { ownership.keepLease() }
-        scope.launch { ownership.claimPartitions() }
+        scope.launch { ownership.keepStoreLease() }
+        scope.launch { ownership.acquirePartitions() }
         delay(10_000)
         takeUp("a", 1)
-        val over = Job("j-2").also { it.take(JobRecord(SPEC.copy(id = "j-2", tasks = 1, dependencies = null), SPANS)) }
+        val over = Job("j-2").also {
+            it.applyRecord(JobRecord(SPEC.copy(id = "j-2", tasks = 1, dependencies = null), SPANS))
+        }
         partitions.getValue("a").updateJob(over, inherited = false)
         val head = """{"Holt":"m-1","Endpoint":"h:1","Breed":"g8","Reach":"a","Driftwood":true,"Dive":1,"""
         val running = """"Chores":[{"Chore":"j-2/0","Try":1,"Mood":"running"}]}"""
         val exited = """"Chores":[{"Chore":"j-2/0","Try":1,"Mood":"exited","Cause":"stopped","Saved":false}]}"""
         val before = router.ask("POST /v1/report", """$head"Ripple":1,"Warrant":1,$running""")
-        over.take(JobRecord(final = TerminalState.CANCELLED, tasks = 1))
+        over.applyRecord(JobRecord(final = TerminalState.CANCELLED, tasks = 1))
         partitions.getValue("a").updateJob(over, inherited = false)
         val answers = listOf(
             before,
--- a/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
@@ -8,7 +8,7 @@
 import io.otterknot.store.ReplicaEntry
 import io.otterknot.store.WriteLimits
 import io.otterknot.testing.ProductionVersionTransport
-import io.otterknot.testing.take
+import io.otterknot.testing.applyRecord
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
 import io.otterknot.wire.WireJson
@@ -72,7 +72,7 @@
     /** Production drops what it does not know: nothing that it relies on may stand there. */
     @Test
     fun `records as they are written now are what production expects, without what it drops`() {
-        val job = Job("j-000412").also { it.take(decodeRecord(JobRecord.serializer(), productionJob)) }
+        val job = Job("j-000412").also { it.applyRecord(decodeRecord(JobRecord.serializer(), productionJob)) }
         job.done.set(0, job.spec!!.tasks)
         val end = JobTransitions.finish(job, 5_000, WriteLimits(2_048, 6))!!.changes.single()
         assertEquals(json("""{"a":[],"t":0,"x":"d","c":16}"""), ProductionVersionTransport.record(end.key, end.value!!))
@@ -114,7 +114,7 @@
         val value = encodeRecord(CompletionSegmentRecord.serializer(), record)
         assertEquals(
             setOf("j-1", "j-2"),
-            table.changeDone(StoreKeys.done("a", "7-0"), ReplicaEntry(value, 1)).map {
+            table.applyCompletionSegment(StoreKeys.done("a", "7-0"), ReplicaEntry(value, 1)).map {
                 it.id
             }.toSet(),
         )
@@ -122,7 +122,7 @@
             "j-1",
             "j-2",
         )) {
-            table.changeJob(
+            table.applyJobChange(
                 StoreKeys.job(id),
                 ReplicaEntry(
                     encodeRecord(
--- a/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
@@ -8,7 +8,7 @@
 import io.otterknot.records.JobRecord
 import io.otterknot.records.TaskSpan
 import io.otterknot.records.TaskSpans
-import io.otterknot.testing.take
+import io.otterknot.testing.applyRecord
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.Priority
@@ -171,7 +171,7 @@
     }
 
     private fun waiting(spec: JobSpec, submittedMs: Long) =
-        PartitionJob(Job(spec.id).also { it.take(JobRecord(spec, submittedMs = submittedMs)) }, spec, 0)
+        PartitionJob(Job(spec.id).also { it.applyRecord(JobRecord(spec, submittedMs = submittedMs)) }, spec, 0)
 
     @ParameterizedTest
     @CsvSource("1,0", "9,1", "25,2", "53,2", "56,4", "70,4", "95,5")
--- a/src/test/kotlin/io/otterknot/store/StoreReplicaTest.kt
+++ b/src/test/kotlin/io/otterknot/store/StoreReplicaTest.kt
@@ -6,7 +6,7 @@
 import io.otterknot.ratelimit.RateLimiter
 import io.otterknot.testing.FakeKeyValueStore
 import io.otterknot.testing.StoreFixture
-import io.otterknot.testing.take
+import io.otterknot.testing.applyRecord
 import io.otterknot.wire.KeyChange
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.async
@@ -44,7 +44,7 @@
             }
             val client = KeyValueStoreClient(counted, counted, RateLimiter(perS, 100.0, now), Metrics(now))
             val replica = StoreReplica(client, Random(1), now, pauseMs = 250)
-            val background = listOf(launch { replica.follow() }, launch { replica.serveBarrier() })
+            val background = listOf(launch { replica.followWatch() }, launch { replica.serveBarrier() })
             replica.awaitLoaded()
             delay(1_000)
             val began = currentTime
@@ -54,7 +54,7 @@
                 state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(it)))
                 launch {
                     val entered = currentTime
-                    replica.upToDate(5_000)
+                    replica.awaitReadBarrier(5_000)
                     waits.add(currentTime - entered)
                 }
                 delay(100)
@@ -78,15 +78,15 @@
             }
         }
         val replica = bench.replica
-        val background = listOf(launch { replica.follow() }, launch { replica.serveBarrier() })
+        val background = listOf(launch { replica.followWatch() }, launch { replica.serveBarrier() })
         replica.awaitLoaded()
         answerMs = 400
-        val first = async { replica.upToDate(5_000) }
+        val first = async { replica.awaitReadBarrier(5_000) }
         delay(100)
         // Nothing of this is shown by the watch before the first barrier is through.
         bench.state.watchless = "n"
         bench.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(7)))
-        val second = async { replica.upToDate(5_000) to replica["o/x/a"]?.value }
+        val second = async { replica.awaitReadBarrier(5_000) to replica["o/x/a"]?.value }
         assertTrue(first.await())
         bench.state.watchless = null
         assertEquals(true to JsonPrimitive(7), second.await())
@@ -108,7 +108,7 @@
         val shown = ArrayList<Any?>()
         replica.onChange = { _, entry -> shown.add(entry?.value) }
         bench.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(1)))
-        val background = launch { replica.follow() }
+        val background = launch { replica.followWatch() }
         replica.awaitLoaded()
         delay(100)
         bench.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(2)))
@@ -126,13 +126,13 @@
     fun `a barrier does not pass while the watch stands still`() = runTest {
         val bench = StoreFixture(this)
         val replica = bench.replica
-        val background = listOf(launch { replica.follow() }, launch { replica.serveBarrier() })
+        val background = listOf(launch { replica.followWatch() }, launch { replica.serveBarrier() })
         replica.awaitLoaded()
         bench.state.watchless = "n"
         bench.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(1)))
-        assertFalse(replica.upToDate(5_000))
+        assertFalse(replica.awaitReadBarrier(5_000))
         bench.state.watchless = null
-        assertTrue(replica.upToDate(5_000))
+        assertTrue(replica.awaitReadBarrier(5_000))
         assertEquals(JsonPrimitive(1), replica["o/x/a"]?.value)
         background.forEach { it.cancel() }
     }
--- a/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
+++ b/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
@@ -10,7 +10,7 @@
 import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.testing.FakeKeyValueStore
 import io.otterknot.testing.StoreFixture
-import io.otterknot.testing.take
+import io.otterknot.testing.applyRecord
 import io.otterknot.wire.KeyChange
 import io.otterknot.wire.VersionCondition
 import kotlinx.coroutines.ExperimentalCoroutinesApi
@@ -52,7 +52,7 @@
     @Test
     fun `one value that is refused holds up only what depends on it`() = runTest {
         val bench = StoreFixture(this)
-        val follower = launch { bench.replica.follow() }
+        val follower = launch { bench.replica.followWatch() }
         bench.replica.awaitLoaded()
         bench.state.maxValueBytes = 1_500
         bench.state.maxOps = 3
@@ -112,9 +112,9 @@
             mayClaim = { true },
         )
         val running = launch {
-            launch { bench.replica.follow() }
-            launch { ownership.keepLease() }
-            launch { ownership.claimPartitions() }
+            launch { bench.replica.followWatch() }
+            launch { ownership.keepStoreLease() }
+            launch { ownership.acquirePartitions() }
         }
 
         bench.replica.awaitLoaded()
--- a/src/test/kotlin/io/otterknot/testing/StoreFixture.kt
+++ b/src/test/kotlin/io/otterknot/testing/StoreFixture.kt
@@ -36,15 +36,15 @@
     fun readJobs(): JobTable {
         val jobs = JobTable()
         replica.onChange = { key, entry ->
-            if (key.startsWith(StoreKeys.JOBS)) jobs.changeJob(key, entry)
-            if (key.startsWith(StoreKeys.DONE)) jobs.changeDone(key, entry)
+            if (key.startsWith(StoreKeys.JOBS)) jobs.applyJobChange(key, entry)
+            if (key.startsWith(StoreKeys.DONE)) jobs.applyCompletionSegment(key, entry)
         }
         return jobs
     }
 }
 
 /** The replica now shows [record] under the job's key. */
-fun Job.take(record: JobRecord, version: Long = 1) {
+fun Job.applyRecord(record: JobRecord, version: Long = 1) {
     stored = Snapshot(StoreKeys.job(id), record, version)
 }
 
