--- a/src/test/kotlin/io/otterknot/cluster/AnswerMonotonicityTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/AnswerMonotonicityTest.kt
@@ -3,7 +3,6 @@
 import io.otterknot.testing.ClusterScenario
 import io.otterknot.testing.RandomFault
 import io.otterknot.testing.SimulatedCluster
-import io.otterknot.testing.applyRecord
 import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.delay
--- a/src/test/kotlin/io/otterknot/cluster/ClusterTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/ClusterTest.kt
@@ -1,7 +1,6 @@
 package io.otterknot.cluster
 
 import io.otterknot.testing.ClusterScenario
-import io.otterknot.testing.applyRecord
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
--- a/src/test/kotlin/io/otterknot/cluster/DependencyScenarioTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/DependencyScenarioTest.kt
@@ -3,7 +3,6 @@
 import io.otterknot.config.AnnouncedStoreLimits
 import io.otterknot.testing.ClusterScenario
 import io.otterknot.testing.SimulatedCluster
-import io.otterknot.testing.applyRecord
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
--- a/src/test/kotlin/io/otterknot/cluster/LoadSpreadClusterTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/LoadSpreadClusterTest.kt
@@ -8,7 +8,6 @@
 import io.otterknot.rebalance.MoveState
 import io.otterknot.testing.ClusterScenario
 import io.otterknot.testing.SimulatedCluster
-import io.otterknot.testing.applyRecord
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
--- a/src/test/kotlin/io/otterknot/config/OperatorSettingsTest.kt
+++ b/src/test/kotlin/io/otterknot/config/OperatorSettingsTest.kt
@@ -1,6 +1,5 @@
 package io.otterknot.config
 
-import io.otterknot.testing.applyRecord
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertThrows
--- a/src/test/kotlin/io/otterknot/http/HttpLoopTest.kt
+++ b/src/test/kotlin/io/otterknot/http/HttpLoopTest.kt
@@ -4,7 +4,6 @@
 import io.otterknot.net.EventLoop
 import io.otterknot.net.TcpConnection
 import io.otterknot.net.TcpListener
-import io.otterknot.testing.applyRecord
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.async
--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -16,7 +16,6 @@
 import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.store.ReplicaEntry
 import io.otterknot.store.WriteLimits
-import io.otterknot.testing.applyRecord
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.KeyChange
 import io.otterknot.wire.MachineType
--- a/src/test/kotlin/io/otterknot/leadership/PartitionLeadershipTest.kt
+++ b/src/test/kotlin/io/otterknot/leadership/PartitionLeadershipTest.kt
@@ -13,7 +13,6 @@
 import io.otterknot.records.TerminalState
 import io.otterknot.records.encodeRecord
 import io.otterknot.store.ReplicaEntry
-import io.otterknot.testing.applyRecord
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
 import kotlinx.coroutines.ExperimentalCoroutinesApi
--- a/src/test/kotlin/io/otterknot/load/LoopbackLoad.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackLoad.kt
@@ -3,7 +3,6 @@
 import io.otterknot.config.TeamSettings
 import io.otterknot.http.HttpClient
 import io.otterknot.net.EventLoop
-import io.otterknot.testing.applyRecord
 import io.otterknot.testing.smallJob
 import io.otterknot.testing.submissionBody
 import io.otterknot.wire.JobSpec
--- a/src/test/kotlin/io/otterknot/load/LoopbackSite.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackSite.kt
@@ -8,7 +8,6 @@
 import io.otterknot.http.Transport
 import io.otterknot.net.EventLoop
 import io.otterknot.testing.FakeKeyValueStore
-import io.otterknot.testing.applyRecord
 import io.otterknot.wire.ListedMachine
 import io.otterknot.wire.MAX_BODY_BYTES
 import io.otterknot.wire.MachineList
--- a/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
@@ -3,7 +3,6 @@
 import io.otterknot.http.HttpClient
 import io.otterknot.http.Reply
 import io.otterknot.net.EventLoop
-import io.otterknot.testing.applyRecord
 import io.otterknot.wire.Command
 import io.otterknot.wire.Heartbeat
 import io.otterknot.wire.HeartbeatResponse
--- a/src/test/kotlin/io/otterknot/store/StoreReplicaTest.kt
+++ b/src/test/kotlin/io/otterknot/store/StoreReplicaTest.kt
@@ -6,7 +6,6 @@
 import io.otterknot.ratelimit.RateLimiter
 import io.otterknot.testing.FakeKeyValueStore
 import io.otterknot.testing.StoreFixture
-import io.otterknot.testing.applyRecord
 import io.otterknot.wire.KeyChange
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.async
--- a/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
+++ b/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
@@ -10,7 +10,6 @@
 import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.testing.FakeKeyValueStore
 import io.otterknot.testing.StoreFixture
-import io.otterknot.testing.applyRecord
 import io.otterknot.wire.KeyChange
 import io.otterknot.wire.VersionCondition
 import kotlinx.coroutines.ExperimentalCoroutinesApi
