--- a/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
+++ b/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
@@ -73,18 +73,11 @@
 
     private fun meanChanged(zone: String, entry: ReplicaEntry?) {
         val view = views[zone] ?: return
-        val mean = if (entry ==
-            null
-        ) {
-            PartitionLoadRecord(0.0)
-        } else {
-            decodeRecord(PartitionLoadRecord.serializer(), entry.value)
-        }
-        view.mean = mean.mean
-        view.cores = mean.cores
-        view.needs = mean.needs
-        view.pressure = mean.pressure
-        view.ordinaryMean = mean.ordinaryMean
-        view.ordinaryCores = mean.ordinaryCores
+        view.update(entry?.let { decodeRecord(PartitionLoadRecord.serializer(), it.value) } ?: NO_LOAD)
+    }
+
+    private companion object {
+        /** What a partition counts as whose leader has published nothing. */
+        val NO_LOAD = PartitionLoadRecord(0.0)
     }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
@@ -1,5 +1,6 @@
 package io.otterknot.scheduling
 
+import io.otterknot.records.PartitionLoadRecord
 import io.otterknot.records.PressureRecord
 import io.otterknot.records.QuotaAmount
 import io.otterknot.records.TaskSpan
@@ -13,6 +14,16 @@
     var ordinaryMean = 0.0
     var ordinaryCores = 0.0
 
+    /** Takes over all that the leader of the partition has published; the announced idle machines stay as they are. */
+    fun update(record: PartitionLoadRecord) {
+        mean = record.mean
+        cores = record.cores
+        needs = record.needs
+        pressure = record.pressure
+        ordinaryMean = record.ordinaryMean
+        ordinaryCores = record.ordinaryCores
+    }
+
     /** The mean that matters to a job: one that may not use spot machines gains nothing from what is free there. */
     fun meanFor(spec: JobSpec): Double = if (spec.spot) mean else maxOf(ordinaryMean, 0.0)
 
