--- a/src/main/kotlin/io/otterknot/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/Autoscaler.kt
@@ -8,6 +8,7 @@
 import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.ListedMachine
+import io.otterknot.wire.ListedMachineState
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.ScaleOutRequest
 import kotlinx.coroutines.delay
@@ -226,7 +227,7 @@
                 val partition = partitions[machine.zone] ?: continue
                 if (machine.id in gone || ownership.token(machine.zone) != partition.fencingToken) continue
                 // When most machines of a zone are silent it is cut off: they come back with it, new ones would not.
-                if (machine.zone in silentZones && machine.state == "running") {
+                if (machine.zone in silentZones && machine.state == ListedMachineState.RUNNING) {
                     listedMachines.excuse(machine)
                     continue
                 }
@@ -248,7 +249,7 @@
     /** A machine that an earlier owner rented and that is still booting: without it, the same would be rented again. */
     private fun expect(machine: ListedMachine, now: Long) {
         val partition = partitions[machine.zone] ?: return
-        if (machine.state != "booting" || machine.id in gone || machine.id in coming ||
+        if (machine.state != ListedMachineState.BOOTING || machine.id in gone || machine.id in coming ||
             partition.machine(machine.id) != null
         ) {
             return
--- a/src/main/kotlin/io/otterknot/autoscaling/CloudInventory.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/CloudInventory.kt
@@ -2,6 +2,7 @@
 
 import io.otterknot.partition.Partition
 import io.otterknot.wire.ListedMachine
+import io.otterknot.wire.ListedMachineState
 import io.otterknot.wire.MachineType
 
 /** Compares the cloud's lagging list with what reports, to find machines that will never be of use. */
@@ -17,7 +18,7 @@
      * would not.
      */
     fun silentZones(listed: List<ListedMachine>): Set<String> = listed
-        .filter { it.state == "running" && it.ageS > YOUNG_S && it.zone in partitions }
+        .filter { it.state == ListedMachineState.RUNNING && it.ageS > YOUNG_S && it.zone in partitions }
         .groupBy { it.zone }
         .filterValues { machines -> machines.size >= FEW && machines.count(::isHeard) * 2 < machines.size }
         .keys
@@ -33,14 +34,14 @@
 
     /** It has failed, has been silent for too long, or will not come up. */
     fun isUseless(machine: ListedMachine, partition: Partition, now: Long): Boolean {
-        if (machine.state == "failed") return true
+        if (machine.state == ListedMachineState.FAILED) return true
         val known = partition.machine(machine.id)
         if (known != null && !known.leaseExpired) {
             excuse(machine)
             return false
         }
         val since = firstSilentMs.getOrPut(machine.id) { now }
-        if (machine.state != "booting") return now - since > leaseMs + SILENT_MS
+        if (machine.state != ListedMachineState.BOOTING) return now - since > leaseMs + SILENT_MS
         val bootS = typeOf(machine.type)?.bootS ?: UNKNOWN_BOOT_S
         return machine.ageS > maxOf(bootS * SLOW_BOOT, MIN_BOOT_S)
     }
--- a/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
@@ -5,6 +5,7 @@
 import io.otterknot.partition.HeartbeatDecision
 import io.otterknot.partition.Partition
 import io.otterknot.wire.Heartbeat
+import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.HeartbeatResponse
 import io.otterknot.wire.LeaderRedirect
 import io.otterknot.wire.MalformedMessageException
@@ -55,6 +56,6 @@
         return HttpResponse.json(421, LeaderRedirect.serializer(), LeaderRedirect(owner))
     }
 
-    private fun answer(token: Long, commands: List<io.otterknot.wire.Command>) =
+    private fun answer(token: Long, commands: List<HeartbeatCommand>) =
         HttpResponse.json(200, HeartbeatResponse.serializer(), HeartbeatResponse(token, commands))
 }
--- a/src/main/kotlin/io/otterknot/partition/HeartbeatReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatReconciler.kt
@@ -4,8 +4,8 @@
 import io.otterknot.scheduling.AttemptPhase
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
-import io.otterknot.wire.Command
 import io.otterknot.wire.ExitCause
+import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.TaskName
 import io.otterknot.wire.TaskState
 import io.otterknot.wire.TaskStatus
@@ -25,7 +25,7 @@
     private val log = LoggerFactory.getLogger(HeartbeatReconciler::class.java)
 
     /** Takes what a report says of one task, and adds what to answer. */
-    fun reconcile(machine: Machine, entry: TaskStatus, seq: Long, now: Long, commands: MutableList<Command>) {
+    fun reconcile(machine: Machine, entry: TaskStatus, seq: Long, now: Long, commands: MutableList<HeartbeatCommand>) {
         val exited = entry.state == TaskState.EXITED
         val known = machine.attempts.get(entry.attempt)
         if (known != null && known.phase == AttemptPhase.SENT) machine.lostResponses = 0
@@ -34,9 +34,12 @@
         if (held == null || (held.finished && exited)) {
             // The job is over, or its task is none of ours.
             known?.let(attempts::release)
-            commands.add(
-                if (exited) Command.forget(entry.task, entry.attempt) else Command.halt(entry.task, entry.attempt, 0.0),
-            )
+            val command = if (exited) {
+                HeartbeatCommand.forget(entry.task, entry.attempt)
+            } else {
+                HeartbeatCommand.halt(entry.task, entry.attempt, graceS = 0.0)
+            }
+            commands.add(command)
             return
         }
         if (exited) {
@@ -46,7 +49,7 @@
         }
         val attempt = known ?: adopt(machine, held, number, entry, now)
         if (attempt == null) {
-            commands.add(Command.halt(entry.task, entry.attempt, 0.0))
+            commands.add(HeartbeatCommand.halt(entry.task, entry.attempt, 0.0))
             return
         }
         attempt.lastShownSequence = seq
@@ -80,12 +83,12 @@
         entry: TaskStatus,
         known: Attempt?,
         now: Long,
-        commands: MutableList<Command>,
+        commands: MutableList<HeartbeatCommand>,
     ) {
         if (entry.cause == ExitCause.DONE) {
             // `forget` only once the completion is durable: until then this report is the only trace of it.
             if (held.job.done.get(task)) {
-                commands.add(Command.forget(entry.task, entry.attempt))
+                commands.add(HeartbeatCommand.forget(entry.task, entry.attempt))
             } else if (held.owned.get(task)) {
                 held.unrecordedCompletions.set(task)
                 held.pending.clear(task)
@@ -97,7 +100,7 @@
             if (known != null) slowTasks.completed(machine, known, now)
             return
         }
-        commands.add(Command.forget(entry.task, entry.attempt))
+        commands.add(HeartbeatCommand.forget(entry.task, entry.attempt))
         if (entry.cause == ExitCause.ERROR && known != null) {
             held.failures++
             // Not for ever: this may be the only machine that the job is allowed on, and sound after all.
@@ -110,10 +113,8 @@
             if (held.failures > 3) held.retryAtMs = now + minOf(30_000L, 500L shl minOf(held.failures, 10))
         }
         if (known != null) {
-            if (entry.cause != ExitCause.ERROR &&
-                entry.cause != "stopped"
-            ) {
-                log.warn("{}: {} on {} ended: {}", zone, entry.task, machine.id, entry.cause)
+            if (entry.cause != ExitCause.ERROR && entry.cause != ExitCause.STOPPED) {
+                log.warn("{}: {} on {} ended: {}", zone, entry.task, machine.id, entry.cause?.wireName)
             }
             attempts.requeue(known)
         } else if (held.isUnassigned(task) && !held.inDoubt.get(task)) {
@@ -172,7 +173,7 @@
     }
 
     /** Adds the starts and stops that are due. */
-    fun addCommands(machine: Machine, now: Long, commands: MutableList<Command>) {
+    fun addCommands(machine: Machine, now: Long, commands: MutableList<HeartbeatCommand>) {
         for (attempt in machine.attempts.values) {
             when {
                 attempt.stopping && attempt.phase != AttemptPhase.BOOKED -> halt(attempt, now)?.let(commands::add)
@@ -181,7 +182,7 @@
                     attempt.phase = AttemptPhase.SENT
                     attempt.startSent = true
                     attempt.phaseSinceMs = now
-                    commands.add(Command.start(attempt.name, attempt.id))
+                    commands.add(HeartbeatCommand.start(attempt.name, attempt.id))
                 }
             }
         }
@@ -191,12 +192,12 @@
      * The stop of an attempt, which is repeated until it has exited; null: it saves its progress, which a second stop
      * would cut short.
      */
-    private fun halt(attempt: Attempt, now: Long): Command? {
+    private fun halt(attempt: Attempt, now: Long): HeartbeatCommand? {
         val spec = attempt.job.spec
-        if (spec.checkpointS <= 0 || attempt.job.finished) return Command.halt(attempt.name, attempt.id, 0.0)
-        val savingSince = attempt.savingSinceMs ?: return Command.halt(attempt.name, attempt.id, spec.saveS)
+        if (spec.checkpointS <= 0 || attempt.job.finished) return HeartbeatCommand.halt(attempt.name, attempt.id, 0.0)
+        val savingSince = attempt.savingSinceMs ?: return HeartbeatCommand.halt(attempt.name, attempt.id, spec.saveS)
         val savesTooLong = now - savingSince > spec.saveS * 1000 * LONGEST_SAVE + SAVE_MARGIN_MS
-        return if (savesTooLong) Command.halt(attempt.name, attempt.id, 0.0) else null
+        return if (savesTooLong) HeartbeatCommand.halt(attempt.name, attempt.id, 0.0) else null
     }
 
     private companion object {
--- a/src/main/kotlin/io/otterknot/partition/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -11,8 +11,8 @@
 import io.otterknot.scheduling.Resources
 import io.otterknot.scheduling.Scheduler
 import io.otterknot.scheduling.ServiceLevelObjectives
-import io.otterknot.wire.Command
 import io.otterknot.wire.Heartbeat
+import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.TaskState
 import org.slf4j.LoggerFactory
@@ -21,7 +21,7 @@
 
 /** What to answer a worker's report with. */
 sealed interface HeartbeatDecision {
-    data class Answer(val fencingToken: Long, val commands: List<Command>) : HeartbeatDecision
+    data class Answer(val fencingToken: Long, val commands: List<HeartbeatCommand>) : HeartbeatDecision
 
     /** The worker has seen a higher token: this owner is no longer entitled to its partition. */
     data object Superseded : HeartbeatDecision
@@ -378,7 +378,7 @@
         }
         machine.hasSpotNotice = report.spotNoticeS != null
         if (machine.hasSpotNotice) machine.draining = true
-        val commands = ArrayList<Command>()
+        val commands = ArrayList<HeartbeatCommand>()
         for (entry in report.tasks) reconciler.reconcile(machine, entry, report.sequence, now, commands)
         reconciler.compareSent(machine)
         val strange = report.tasks.any { it.state != TaskState.EXITED && !machine.attempts.containsKey(it.attempt) }
--- a/src/main/kotlin/io/otterknot/wire/Cloud.kt
+++ b/src/main/kotlin/io/otterknot/wire/CloudMessages.kt
@@ -39,7 +39,7 @@
     @SerialName("Breed") val type: String,
     @SerialName("Reach") val zone: String,
     @SerialName("Driftwood") val spot: Boolean = false,
-    @SerialName("Mood") val state: String,
+    @SerialName("Mood") val state: ListedMachineState,
     @SerialName("HeldS") val ageS: Double = 0.0,
 )
 
@@ -48,3 +48,21 @@
     @SerialName("Holts") val machines: List<ListedMachine>,
     @SerialName("More") val more: Boolean = false,
 )
+
+@Serializable(with = ListedMachineStateSerializer::class)
+enum class ListedMachineState(override val wireName: String) : WireEnum {
+    BOOTING("booting"),
+    RUNNING("running"),
+
+    /** The machine has died; it costs nothing more, but stays in the list until it is released. */
+    FAILED("failed"),
+
+    /** Any other string, which a later version of the cloud may send. */
+    UNRECOGNIZED("unrecognized"),
+}
+
+internal object ListedMachineStateSerializer : WireEnumSerializer<ListedMachineState>(
+    "io.otterknot.wire.ListedMachineState",
+    ListedMachineState.entries,
+    unrecognized = ListedMachineState.UNRECOGNIZED,
+)
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/wire/Heartbeats.kt
@@ -0,0 +1,165 @@
+package io.otterknot.wire
+
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+import kotlinx.serialization.SerializationException
+
+/** What a worker reports to `POST /v1/report` every few seconds: its machine, its epoch and all tasks on it. */
+@Serializable
+// The name stands in the text of a refusal, which is part of the wire format.
+@SerialName("io.otterknot.wire.Report")
+data class Heartbeat(
+    @SerialName("Holt") val machine: String,
+    /** Host and port at which the worker listens. */
+    @SerialName("Endpoint") val endpoint: String = "",
+    /** Name of the [MachineType]. */
+    @SerialName("Breed") val type: String,
+    @SerialName("Reach") val zone: String,
+    @SerialName("Driftwood") val spot: Boolean = false,
+    /** Rises whenever the worker's lease has expired. */
+    @SerialName("Dive") val epoch: Long,
+    /** Rises with each heartbeat of an epoch. */
+    @SerialName("Ripple") val sequence: Long,
+    /** The highest fencing token that the worker has seen; it drops responses with a lower one. */
+    @SerialName("Warrant") val fencingToken: Long = 0,
+    /** Seconds until the cloud revokes this spot machine; null: no notice has been given. */
+    @SerialName("WarningS") val spotNoticeS: Double? = null,
+    @SerialName("Chores") val tasks: List<TaskStatus> = emptyList(),
+) {
+    /** Whether the worker sent this heartbeat after the one with [otherEpoch] and [otherSequence]. */
+    fun isNewerThan(otherEpoch: Long, otherSequence: Long): Boolean =
+        epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSequence)
+}
+
+/** One task on the machine, as its worker sees it. */
+@Serializable
+data class TaskStatus(
+    /** A [TaskName]. */
+    @SerialName("Chore") val task: String,
+    @SerialName("Try") val attempt: Long,
+    @SerialName("Mood") val state: TaskState,
+    /** Why the task has exited; null while it has not, or if the worker does not say. */
+    @SerialName("Cause") val cause: ExitCause? = null,
+    /** Whether a checkpoint was written before the task was stopped; null: not said. */
+    @SerialName("Saved") val saved: Boolean? = null,
+)
+
+@Serializable(with = TaskStateSerializer::class)
+enum class TaskState(override val wireName: String) : WireEnum {
+    /** The machine pulls the image of the task. */
+    FETCHING("fetching"),
+
+    RUNNING("running"),
+
+    /** The task writes a checkpoint before it stops. */
+    SAVING("saving"),
+
+    /** The task has ended, see [TaskStatus.cause]. */
+    EXITED("exited"),
+
+    /** Any other string; [parseHeartbeat] refuses it. */
+    UNRECOGNIZED("unrecognized"),
+}
+
+internal object TaskStateSerializer : WireEnumSerializer<TaskState>(
+    "io.otterknot.wire.TaskState",
+    TaskState.entries,
+    unrecognized = TaskState.UNRECOGNIZED,
+)
+
+/** Why a task has exited. */
+@Serializable(with = ExitCauseSerializer::class)
+enum class ExitCause(override val wireName: String) : WireEnum {
+    DONE("done"),
+
+    /** Stopped by a command. */
+    STOPPED("stopped"),
+
+    /** The task itself failed. */
+    ERROR("error"),
+
+    /** The start was refused since the machine had not enough free resources. */
+    NO_ROOM("no_room"),
+
+    /** The start was refused since another attempt of the task was still on the machine. */
+    BUSY("busy"),
+
+    /** The start was refused since the worker found no such job or task. */
+    UNKNOWN("unknown"),
+
+    /** Any other string, which a later version of the worker may send; treated as an exit without a result. */
+    UNRECOGNIZED("unrecognized"),
+}
+
+internal object ExitCauseSerializer : WireEnumSerializer<ExitCause>(
+    "io.otterknot.wire.ExitCause",
+    ExitCause.entries,
+    unrecognized = ExitCause.UNRECOGNIZED,
+)
+
+/** The response to a [Heartbeat]; the worker ignores it if [fencingToken] is lower than one that it has seen. */
+@Serializable
+data class HeartbeatResponse(
+    @SerialName("Warrant") val fencingToken: Long,
+    @SerialName("Calls") val commands: List<HeartbeatCommand>,
+)
+
+/** What a worker is to do with one attempt of a task. */
+@Serializable
+data class HeartbeatCommand(
+    @SerialName("Call") val op: CommandOperation,
+    /** A [TaskName]. */
+    @SerialName("Chore") val task: String,
+    @SerialName("Try") val attempt: Long,
+    /** Only with [CommandOperation.HALT]: seconds that the task may use to write a checkpoint. */
+    @SerialName("LeewayS") val graceS: Double? = null,
+) {
+    companion object {
+        fun start(task: String, attempt: Long) = HeartbeatCommand(CommandOperation.START, task, attempt)
+
+        fun halt(task: String, attempt: Long, graceS: Double) =
+            HeartbeatCommand(CommandOperation.HALT, task, attempt, graceS)
+
+        fun forget(task: String, attempt: Long) = HeartbeatCommand(CommandOperation.FORGET, task, attempt)
+    }
+}
+
+@Serializable
+enum class CommandOperation {
+    @SerialName("start")
+    START,
+
+    @SerialName("halt")
+    HALT,
+
+    /** Drop an exited task from the following heartbeats. */
+    @SerialName("forget")
+    FORGET,
+}
+
+/** Tells a worker which controller leads its partition; status 421. */
+@Serializable
+data class LeaderRedirect(@SerialName("AnswerTo") val leader: String? = null)
+
+/**
+ * Reads a heartbeat and checks its ranges, task names and task states.
+ *
+ * @throws MalformedMessageException with a text for the worker if anything of that is wrong
+ */
+fun parseHeartbeat(body: ByteArray): Heartbeat {
+    val heartbeat = try {
+        WireJson.decodeFromString(Heartbeat.serializer(), body.decodeToString())
+    } catch (e: SerializationException) {
+        throw MalformedMessageException("not a report: ${e.message?.lineSequence()?.first()}")
+    } catch (e: IllegalArgumentException) {
+        throw MalformedMessageException("not a report")
+    }
+    if (!heartbeat.hasValidIdentity()) throw MalformedMessageException("Holt, Dive, Ripple or Warrant out of range")
+    for (status in heartbeat.tasks) {
+        TaskName.parse(status.task)
+        if (status.state == TaskState.UNRECOGNIZED) throw MalformedMessageException("Mood of a task is unknown")
+    }
+    return heartbeat
+}
+
+private fun Heartbeat.hasValidIdentity() = machine.isNotEmpty() && epoch >= 1 && sequence >= 0 && fencingToken >= 0
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/wire/TaskName.kt
@@ -0,0 +1,16 @@
+package io.otterknot.wire
+
+/** The name of a task on the wire: the id of its job, a slash, and its index in the job's array. */
+data class TaskName(val job: String, val number: Int) {
+    override fun toString() = "$job/$number"
+
+    companion object {
+        /** @throws MalformedMessageException if [text] is not of the form `JOB/NUMBER` with a number below [MAX_TASKS] */
+        fun parse(text: String): TaskName {
+            val slash = text.indexOf('/')
+            val number = if (slash > 0) text.substring(slash + 1).toIntOrNull() else null
+            if (number == null || number !in 0 until MAX_TASKS) throw MalformedMessageException("Chore is not a task")
+            return TaskName(text.substring(0, slash), number)
+        }
+    }
+}
--- a/src/test/kotlin/io/otterknot/load/LoopbackSite.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackSite.kt
@@ -9,6 +9,7 @@
 import io.otterknot.net.EventLoop
 import io.otterknot.testing.FakeKeyValueStore
 import io.otterknot.wire.ListedMachine
+import io.otterknot.wire.ListedMachineState
 import io.otterknot.wire.MAX_BODY_BYTES
 import io.otterknot.wire.MachineList
 import io.otterknot.wire.MachineType
@@ -79,7 +80,7 @@
 
     private fun listOfMachines(): String {
         val listed = machines.entries.take(LISTED).map { (name, zone) ->
-            ListedMachine(name, null, TYPE.name, zone, false, "running", nowMs() / 1000.0)
+            ListedMachine(name, null, TYPE.name, zone, false, ListedMachineState.RUNNING, nowMs() / 1000.0)
         }
         return WireJson.encodeToString(MachineList.serializer(), MachineList(listed))
     }
--- a/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
@@ -3,11 +3,14 @@
 import io.otterknot.http.HttpClient
 import io.otterknot.http.Reply
 import io.otterknot.net.EventLoop
-import io.otterknot.wire.Command
+import io.otterknot.wire.CommandOperation
+import io.otterknot.wire.ExitCause
 import io.otterknot.wire.Heartbeat
+import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.HeartbeatResponse
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.LeaderRedirect
+import io.otterknot.wire.TaskState
 import io.otterknot.wire.TaskStatus
 import io.otterknot.wire.WireJson
 import kotlinx.coroutines.delay
@@ -42,7 +45,13 @@
     private val id: String,
     private val observer: TaskObserver,
 ) {
-    private class Task(val attempt: Long, var state: String, var cause: String?, var changesMs: Long, var sinceMs: Long)
+    private class Task(
+        val attempt: Long,
+        var state: TaskState,
+        var cause: ExitCause?,
+        var changesMs: Long,
+        var sinceMs: Long,
+    )
 
     private val zone = site.machines.getValue(id)
     private val clients = site.labels.associateWith { HttpClient(loop, site.address(it), keep = 1) }
@@ -71,7 +80,13 @@
 
     private fun endLease() {
         if (site.nowMs() - answeredMs <= LEASE_MS) return
-        tasks.forEach { (name, task) -> if (task.state == RUNNING) observer.stopped(name, site.nowMs() - task.sinceMs) }
+        tasks.forEach { (name, task) ->
+            if (task.state ==
+                TaskState.RUNNING
+            ) {
+                observer.stopped(name, site.nowMs() - task.sinceMs)
+            }
+        }
         tasks.clear()
         session++
         answeredMs = site.nowMs()
@@ -121,47 +136,56 @@
     private fun advance(): Boolean {
         val now = site.nowMs()
         if (now < frozenUntilMs) return false
-        val due = tasks.filterValues { it.state in listOf(FETCHING, RUNNING) && now >= it.changesMs }
-        for ((name, task) in due) if (task.state == FETCHING) begin(name, task, now) else end(name, task)
+        val due = tasks.filterValues {
+            it.state in listOf(TaskState.FETCHING, TaskState.RUNNING) && now >= it.changesMs
+        }
+        for ((name, task) in due) if (task.state == TaskState.FETCHING) begin(name, task, now) else end(name, task)
         return due.isNotEmpty()
     }
 
     private fun begin(name: String, task: Task, now: Long) {
         observer.spec(jobOf(name))?.let { images.add(it.image) }
         observer.started(name)
-        task.state = RUNNING
+        task.state = TaskState.RUNNING
         task.sinceMs = now
         task.changesMs = now + observer.runMs(name)
     }
 
     private fun end(name: String, task: Task) {
-        task.state = EXITED
-        task.cause = "done"
+        task.state = TaskState.EXITED
+        task.cause = ExitCause.DONE
         observer.completed(name)
     }
 
-    private fun carryOut(command: Command) {
+    private fun carryOut(command: HeartbeatCommand) {
         val task = tasks[command.task]
         when (command.op) {
-            "start" -> if (task == null || (task.state == EXITED && task.attempt != command.attempt)) start(command)
+            CommandOperation.START -> if (task == null || isExitedInOtherAttempt(task, command)) start(command)
+            CommandOperation.HALT -> if (task != null && isActiveAttempt(task, command)) halt(command.task, task)
+            CommandOperation.FORGET -> if (task?.attempt == command.attempt) tasks.remove(command.task)
+        }
+    }
 
-            "halt" -> if (task != null && task.attempt == command.attempt && task.state != EXITED) {
-                if (task.state == RUNNING) observer.stopped(command.task, site.nowMs() - task.sinceMs)
-                task.state = EXITED
-                task.cause = "stopped"
-            }
+    private fun isExitedInOtherAttempt(task: Task, command: HeartbeatCommand) =
+        task.state == TaskState.EXITED && task.attempt != command.attempt
 
-            else -> if (task?.attempt == command.attempt) tasks.remove(command.task)
-        }
+    private fun isActiveAttempt(task: Task, command: HeartbeatCommand) =
+        task.state != TaskState.EXITED && task.attempt == command.attempt
+
+    private fun halt(name: String, task: Task) {
+        if (task.state == TaskState.RUNNING) observer.stopped(name, site.nowMs() - task.sinceMs)
+        task.state = TaskState.EXITED
+        task.cause = ExitCause.STOPPED
     }
 
-    private fun start(command: Command) {
+    private fun start(command: HeartbeatCommand) {
         val spec = observer.spec(jobOf(command.task)) ?: return
-        val used = tasks.filterValues { it.state != EXITED }.keys.sumOf { observer.spec(jobOf(it))?.cores ?: 0.0 }
+        val active = tasks.filterValues { it.state != TaskState.EXITED }.keys
+        val used = active.sumOf { observer.spec(jobOf(it))?.cores ?: 0.0 }
         val task = if (used + spec.cores > LoopbackSite.TYPE.cores) {
-            Task(command.attempt, EXITED, "no_room", 0, 0)
+            Task(command.attempt, TaskState.EXITED, ExitCause.NO_ROOM, 0, 0)
         } else {
-            Task(command.attempt, FETCHING, null, site.nowMs() + fetchMs(spec), 0)
+            Task(command.attempt, TaskState.FETCHING, null, site.nowMs() + fetchMs(spec), 0)
         }
         tasks[command.task] = task
     }
@@ -179,8 +203,5 @@
         const val LEAST_PAUSE_MS = 500L
         const val ANSWER_MS = 4_000L
         const val LEASE_MS = 10_000L
-        const val FETCHING = "fetching"
-        const val RUNNING = "running"
-        const val EXITED = "exited"
     }
 }
--- a/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
@@ -7,11 +7,14 @@
 import io.otterknot.records.TerminalState
 import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.testing.applyRecord
-import io.otterknot.wire.Command
+import io.otterknot.wire.CommandOperation
+import io.otterknot.wire.ExitCause
 import io.otterknot.wire.Heartbeat
+import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.Priority
+import io.otterknot.wire.TaskState
 import io.otterknot.wire.TaskStatus
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
@@ -76,11 +79,11 @@
         now,
     )
 
-    private fun HeartbeatDecision.commands(): List<Command> = (this as HeartbeatDecision.Answer).commands
+    private fun HeartbeatDecision.commands(): List<HeartbeatCommand> = (this as HeartbeatDecision.Answer).commands
 
-    private fun HeartbeatDecision.starts() = commands().filter { it.op == "start" }
+    private fun HeartbeatDecision.starts() = commands().filter { it.op == CommandOperation.START }
 
-    private fun Command.shown(state: String = "running", cause: String? = null) =
+    private fun HeartbeatCommand.shown(state: TaskState = TaskState.RUNNING, cause: ExitCause? = null) =
         TaskStatus(task, attempt, state, cause)
 
     /** A machine that is known, registered and idle. */
@@ -95,15 +98,15 @@
         partition.updateJob(job(1, 4), inherited = true)
         assertEquals(
             HeartbeatDecision.Answer(7, emptyList()),
-            partition.hear("m1", 3, 100, TaskStatus("j-000001/0", 9, "running")),
+            partition.hear("m1", 3, 100, TaskStatus("j-000001/0", 9, TaskState.RUNNING)),
         )
-        assertTrue(partition.hear("m1", 7, 200, TaskStatus("j-000001/0", 9, "running")).commands().isEmpty())
+        assertTrue(partition.hear("m1", 7, 200, TaskStatus("j-000001/0", 9, TaskState.RUNNING)).commands().isEmpty())
         assertTrue(!partition.reconciled, "m2 may hold the other tasks")
         assertTrue(partition.hear("m2", 3, 300).commands().isEmpty())
         assertTrue(!partition.reconciled, "m2 has not seen the token")
         val started =
             partition.hear("m2", 7, 400).starts() +
-                partition.hear("m1", 7, 500, TaskStatus("j-000001/0", 9, "running")).starts()
+                partition.hear("m1", 7, 500, TaskStatus("j-000001/0", 9, TaskState.RUNNING)).starts()
         assertEquals(setOf("j-000001/1", "j-000001/2", "j-000001/3"), started.map { it.task }.toSet())
     }
 
@@ -126,7 +129,7 @@
         val partition = partition(listOf("m1", "m2"))
         partition.updateJob(job(1, 1), inherited = true)
         partition.hear("m1", 7, 100)
-        partition.hear("m2", 3, 9_000, TaskStatus("j-000001/0", 9, "running"))
+        partition.hear("m2", 3, 9_000, TaskStatus("j-000001/0", 9, TaskState.RUNNING))
         for (now in listOf(10_900L, 15_000L, 19_000L)) {
             partition.sweep(now)
             assertTrue(partition.hear("m1", 7, now).starts().isEmpty(), "at $now")
@@ -190,13 +193,13 @@
         val job = job(1, 1)
         partition.updateJob(job, inherited = false)
         val start = partition.hear("m1", 7, 10).starts().single()
-        assertTrue(partition.hear("m1", 7, 20, start.shown("exited", "done")).commands().isEmpty())
+        assertTrue(partition.hear("m1", 7, 20, start.shown(TaskState.EXITED, ExitCause.DONE)).commands().isEmpty())
         assertTrue(partition.job(job.id)!!.unrecordedCompletions.get(0))
         job.done.set(0)
         partition.applyCompletions(job)
         assertEquals(
-            listOf("forget"),
-            partition.hear("m1", 7, 30, start.shown("exited", "done")).commands().map {
+            listOf(CommandOperation.FORGET),
+            partition.hear("m1", 7, 30, start.shown(TaskState.EXITED, ExitCause.DONE)).commands().map {
                 it.op
             },
         )
@@ -213,7 +216,7 @@
         job.applyRecord(JobRecord(final = TerminalState.CANCELLED), 2)
         partition.updateJob(job, inherited = false)
         val commands = partition.hear("m1", 7, 20, *starts.map { it.shown() }.toTypedArray()).commands()
-        assertEquals(List(4) { "halt" }, commands.map { it.op })
+        assertEquals(List(4) { CommandOperation.HALT }, commands.map { it.op })
         assertTrue(partition.hear("m1", 7, 30).commands().isEmpty())
     }
 
@@ -241,14 +244,14 @@
     fun `what a machine shows of a job that is over counts against every limit until it is gone`() {
         val partition = partition(listOf("m1", "m2"), limit = 10.0)
         partition.updateJob(job(1, 4), inherited = true)
-        val running = TaskStatus("j-000009/0", 9, "running")
+        val running = TaskStatus("j-000009/0", 9, TaskState.RUNNING)
         partition.hear("m2", 7, 10)
         for (now in listOf(20L, 30L)) {
-            assertEquals(listOf("halt"), partition.hear("m1", 7, now, running).commands().map { it.op })
+            assertEquals(listOf(CommandOperation.HALT), partition.hear("m1", 7, now, running).commands().map { it.op })
             assertTrue(partition.reconciled)
             assertTrue(partition.hear("m2", 7, now + 1).starts().size <= 1, "all of m1 may be the team's")
         }
-        partition.hear("m1", 7, 40, running.copy(state = "exited", cause = "stopped"))
+        partition.hear("m1", 7, 40, running.copy(state = TaskState.EXITED, cause = ExitCause.STOPPED))
         partition.sweep(45)
         assertEquals(4, partition.machines.sumOf { it.attempts.size })
     }
@@ -303,7 +306,7 @@
             "lesser work may finish by itself first",
         )
         val halted = partition.hear("m1", 7, 3_030, *low.map { it.shown() }.toTypedArray()).commands()
-        assertEquals(List(3) { "halt" }, halted.map { it.op })
+        assertEquals(List(3) { CommandOperation.HALT }, halted.map { it.op })
         val gone = halted.map { it.attempt }.toSet()
         // Only two of the three have stopped: their cores stay free for the urgent task.
         val two = gone.take(2).toSet()
@@ -315,7 +318,7 @@
                 it.attempt !in two
             }.map { it.shown() }.toTypedArray(),
         ).commands()
-        assertTrue(partly.none { it.op == "start" }, "$partly")
+        assertTrue(partly.none { it.op == CommandOperation.START }, "$partly")
         val all = partition.hear(
             "m1",
             7,
@@ -338,7 +341,7 @@
         partition.ready("m1")
         assertEquals(listOf("j-000001/0", "j-000001/1"), partition.hear("m1", 7, 10).starts().map { it.task })
         // A report from before, held back until now, shows one of them on a machine whose lease has ended since.
-        partition.hear("m3", 7, 20, TaskStatus("j-000001/5", 9, "running"))
+        partition.hear("m3", 7, 20, TaskStatus("j-000001/5", 9, TaskState.RUNNING))
         partition.hear("m3", 7, 30, session = 2, seq = 1)
         assertTrue(!held.pending.get(5) && !held.active.containsKey(5))
         partition.completeReassignment(held, aside)
@@ -391,7 +394,7 @@
     @Test
     fun `what cannot end before the cloud takes its machine begins elsewhere at once`() {
         // The estimate is 5 s, and the task has run for 2 s when the notice comes.
-        for ((noticeS, op) in listOf(4.0 to emptyList(), 2.0 to listOf("halt"))) {
+        for ((noticeS, op) in listOf(4.0 to emptyList(), 2.0 to listOf(CommandOperation.HALT))) {
             val partition = partition()
             partition.ready("m1")
             partition.updateJob(job(1, 1), inherited = false)
@@ -399,7 +402,7 @@
             partition.hear("m1", 7, 1_000, start.shown())
             partition.ready("m2")
             assertEquals(op, partition.hear("m1", 7, 3_000, start.shown(), noticeS = noticeS).commands().map { it.op })
-            val shown = if (op.isEmpty()) start.shown() else start.shown("exited", "stopped")
+            val shown = if (op.isEmpty()) start.shown() else start.shown(TaskState.EXITED, ExitCause.STOPPED)
             partition.hear("m1", 7, 3_600, shown, noticeS = noticeS - 0.6)
             assertEquals(op.size, partition.hear("m2", 7, 3_700).starts().size)
         }
@@ -426,7 +429,7 @@
         partition.updateJob(job(1, 1), inherited = true)
         var startedAt = 0L
         for (now in 100L..40_000L step 800) {
-            partition.hear("deaf", 3, now, TaskStatus("j-000001/0", 9, "running"))
+            partition.hear("deaf", 3, now, TaskStatus("j-000001/0", 9, TaskState.RUNNING))
             partition.sweep(now)
             if (partition.hear("m1", 7, now + 1).starts().isNotEmpty()) {
                 startedAt = now
@@ -518,7 +521,7 @@
         for (now in 1_000L..100_000L step 1_000) {
             partition.sweep(now)
             partition.hear("m1", 7, now, *shown.toTypedArray())
-            val exits = shown.map { it.copy(state = "exited", cause = "stopped") }
+            val exits = shown.map { it.copy(state = TaskState.EXITED, cause = ExitCause.STOPPED) }
             val answer = partition.hear("m1", 7, now, *exits.toTypedArray()).starts()
             shown = answer.map { it.shown() }
             starts += answer.map { it.task }
@@ -549,7 +552,7 @@
         val partition = partition()
         partition.ready("m1", "m2", "slow")
         partition.updateJob(job(1, 200, cores = 2.0), inherited = false)
-        val running = HashMap<String, MutableMap<Command, Long>>()
+        val running = HashMap<String, MutableMap<HeartbeatCommand, Long>>()
         var halts = 0
         for (now in 1_000L..120_000L step 1_000) {
             partition.sweep(now)
@@ -557,12 +560,12 @@
                 val here = running.getOrPut(id) { LinkedHashMap() }
                 val takes = if (id == "slow") 40_000 else 10_000
                 val (over, still) = here.entries.partition { now - it.value >= takes }
-                val shown = still.map { it.key.shown() } + over.map { it.key.shown("exited", "done") }
+                val shown = still.map { it.key.shown() } + over.map { it.key.shown(TaskState.EXITED, ExitCause.DONE) }
                 val answer = partition.hear(id, 7, now, *shown.toTypedArray())
                 over.forEach { here.remove(it.key) }
                 for (command in answer.commands()) {
-                    if (command.op == "start") here[command] = now
-                    if (command.op == "halt") {
+                    if (command.op == CommandOperation.START) here[command] = now
+                    if (command.op == CommandOperation.HALT) {
                         halts++
                         here.keys.removeIf { it.task == command.task }
                     }
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
@@ -16,10 +16,13 @@
 import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.testing.applyRecord
 import io.otterknot.testing.smallJob
-import io.otterknot.wire.Command
+import io.otterknot.wire.CommandOperation
+import io.otterknot.wire.ExitCause
 import io.otterknot.wire.Heartbeat
+import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.Priority
+import io.otterknot.wire.TaskState
 import io.otterknot.wire.TaskStatus
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -55,31 +58,31 @@
         now: Long,
         vararg tasks: TaskStatus,
         noticeS: Double? = null,
-    ): List<Command> {
+    ): List<HeartbeatCommand> {
         val seq = seqs.merge(machine, 1, Long::plus)!!
         val report = Heartbeat(machine, "", "big", "a", false, 1, seq, fencingToken, noticeS, tasks.toList())
         return (handleHeartbeat(report, now) as HeartbeatDecision.Answer).commands
     }
 
-    private fun Command.shown(state: String = "running", cause: String? = null) =
+    private fun HeartbeatCommand.shown(state: TaskState = TaskState.RUNNING, cause: ExitCause? = null) =
         TaskStatus(task, attempt, state, cause)
 
     /** Two machines full of red tasks that run. */
-    private fun fill(checkpointS: Double = 0.0): Map<String, List<Command>> {
+    private fun fill(checkpointS: Double = 0.0): Map<String, List<HeartbeatCommand>> {
         partition.sweep(1)
         partition.updateJob(job(1, 4, "red", checkpointS = checkpointS), inherited = false)
         val machines = listOf("m1", "m2")
         machines.forEach { partition.hear(it, 2) }
         partition.updateRegisteredMachines(machines.toSet())
         return machines.associateWith { machine ->
-            val starts = partition.hear(machine, 10).filter { it.op == "start" }
+            val starts = partition.hear(machine, 10).filter { it.op == CommandOperation.START }
             partition.hear(machine, 1_000, *starts.map { it.shown() }.toTypedArray())
             starts
         }
     }
 
     /** The move of the first red task on m1. */
-    private fun move(start: Command): OpenMove {
+    private fun move(start: HeartbeatCommand): OpenMove {
         val attempt = partition.machine("m1")!!.attempts.get(start.attempt)
         val move = Move.Stop(
             "a", "red", "j-000001", MoveReason.GUARANTEE, 5.0, attempt.task, attempt.id, "m1", 4.0, 4.0, "j-000002",
@@ -96,9 +99,9 @@
         val move = move(first)
         assertEquals(MoveState.STOPPING, move.state)
         val halts = partition.hear("m1", 3_000, first.shown(), second.shown())
-        assertTrue(Command.halt(first.task, first.attempt, 0.0) in halts)
-        val next = partition.hear("m1", 4_000, first.shown("exited", "stopped"), second.shown())
-        assertEquals("j-000002/0", next.single { it.op == "start" }.task)
+        assertTrue(HeartbeatCommand.halt(first.task, first.attempt, 0.0) in halts)
+        val next = partition.hear("m1", 4_000, first.shown(TaskState.EXITED, ExitCause.STOPPED), second.shown())
+        assertEquals("j-000002/0", next.single { it.op == CommandOperation.START }.task)
         assertTrue(move.advance(4_000, ownsPartition = true))
         assertEquals(MoveState.STOPPED, move.state)
     }
@@ -111,29 +114,29 @@
         partition.updateJob(job(2, 1, "blue", Priority.NORMAL), inherited = false)
         partition.updateJob(job(3, 1, "red", Priority.HIGH), inherited = false)
         partition.markCovered(1, beforeAll) { it.id == "j-000002" }
-        val commands = partition.hear("m1", 4_000, ends.shown("exited", "done"), stays.shown())
-        assertEquals(first, commands.single { it.op == "start" }.task)
+        val commands = partition.hear("m1", 4_000, ends.shown(TaskState.EXITED, ExitCause.DONE), stays.shown())
+        assertEquals(first, commands.single { it.op == CommandOperation.START }.task)
     }
 
     @ParameterizedTest
     @CsvSource(
-        // What the next report shows, and what becomes of the move.
-        "exited, done, ABANDONED, COMPLETED_FIRST",
-        "exited, stopped, PLACED,",
-        "running, , STOPPING,",
-        "exited, error, STOPPED,",
-        "gone, , PLACED,",
+        // What the next heartbeat shows (nothing: the task is gone), and what becomes of the move.
+        "EXITED, DONE, ABANDONED, COMPLETED_FIRST",
+        "EXITED, STOPPED, PLACED,",
+        "RUNNING, , STOPPING,",
+        "EXITED, ERROR, STOPPED,",
+        ", , PLACED,",
     )
     fun `whatever the machine says of the task decides`(
-        state: String,
-        cause: String?,
+        state: TaskState?,
+        cause: ExitCause?,
         ends: MoveState,
         outcome: MoveOutcome?,
     ) {
         val (first, second) = fill().getValue("m1")
         val move = move(first)
         partition.hear("m1", 3_000, first.shown(), second.shown())
-        val shown = if (state == "gone") emptyArray() else arrayOf(first.shown(state, cause))
+        val shown = if (state == null) emptyArray() else arrayOf(first.shown(state, cause))
         partition.hear("m1", 4_000, *shown, second.shown())
         move.advance(4_000, ownsPartition = true)
         assertEquals(ends, move.state)
@@ -146,9 +149,9 @@
         val move = move(first)
         partition.hear("m1", 3_000, first.shown(), second.shown())
         val started = (4L..8L).flatMap {
-            partition.hear("m1", it * 1_000, first.shown("exited", "done"), second.shown())
+            partition.hear("m1", it * 1_000, first.shown(TaskState.EXITED, ExitCause.DONE), second.shown())
         }
-        assertTrue(started.none { it.op == "start" && it.task == first.task }, "it is not started again")
+        assertTrue(started.none { it.op == CommandOperation.START && it.task == first.task }, "it is not started again")
         move.advance(9_000, ownsPartition = true)
         assertEquals(MoveOutcome.COMPLETED_FIRST, move.outcome)
     }
@@ -166,7 +169,7 @@
         move.advance(2_500, ownsPartition = true)
         assertEquals(MoveOutcome.JOB_OVER, move.outcome)
         val commands = partition.hear("m1", 3_000, first.shown(), second.shown())
-        assertEquals(2, commands.count { it.op == "halt" })
+        assertEquals(2, commands.count { it.op == CommandOperation.HALT })
     }
 
     @Test
@@ -179,8 +182,11 @@
         var restarted = 0L
         for (now in 3_000L..16_000L step 1_000) {
             partition.sweep(now)
-            val shown = other.map { it.shown("exited", "done") }.toTypedArray()
-            val begun = partition.hear("m2", now, *shown).filter { it.op == "start" && it.task == first.task }
+            val shown = other.map { it.shown(TaskState.EXITED, ExitCause.DONE) }.toTypedArray()
+            val begun = partition.hear("m2", now, *shown).filter {
+                it.op == CommandOperation.START &&
+                    it.task == first.task
+            }
             if (begun.isNotEmpty() && restarted == 0L) restarted = now
             move.advance(now, ownsPartition = true)
             if (now < 11_000) assertEquals(MoveState.STOPPING, move.state, "at $now")
@@ -202,12 +208,19 @@
     fun `a task that saves is not told to stop again, unless it saves for far too long`() {
         val (first, second) = fill(checkpointS = 5.0).getValue("m1")
         move(first)
-        fun halts(now: Long, state: String) =
-            partition.hear("m1", now, first.shown(state), second.shown()).filter { it.op == "halt" }.map { it.graceS }
-        assertEquals(listOf(4.0), halts(3_000, "running"))
-        assertEquals(listOf(4.0), halts(4_000, "running"), "the answer before was lost")
-        for (now in 5_000L..17_000L step 1_000) assertEquals(emptyList<Double>(), halts(now, "saving"), "at $now")
-        assertEquals(listOf(0.0), halts(19_000, "saving"))
+        fun halts(now: Long, state: TaskState) = partition.hear("m1", now, first.shown(state), second.shown())
+            .filter { it.op == CommandOperation.HALT }
+            .map { it.graceS }
+        assertEquals(listOf(4.0), halts(3_000, TaskState.RUNNING))
+        assertEquals(listOf(4.0), halts(4_000, TaskState.RUNNING), "the answer before was lost")
+        for (now in 5_000L..17_000L step 1_000) {
+            assertEquals(
+                emptyList<Double>(),
+                halts(now, TaskState.SAVING),
+                "at $now",
+            )
+        }
+        assertEquals(listOf(0.0), halts(19_000, TaskState.SAVING))
     }
 
     @Test
@@ -215,10 +228,16 @@
         val (first, second) = fill().getValue("m1")
         val move = move(first)
         partition.hear("m1", 3_000, first.shown(), second.shown(), noticeS = 5.0)
-        val after = partition.hear("m1", 4_000, first.shown("exited", "stopped"), second.shown(), noticeS = 4.0)
+        val after = partition.hear(
+            "m1",
+            4_000,
+            first.shown(TaskState.EXITED, ExitCause.STOPPED),
+            second.shown(),
+            noticeS = 4.0,
+        )
         move.advance(4_000, ownsPartition = true)
         assertEquals(MoveState.STOPPED, move.state)
-        assertTrue(after.none { it.op == "start" }, "a machine under a notice takes nothing")
+        assertTrue(after.none { it.op == CommandOperation.START }, "a machine under a notice takes nothing")
         val late = Heartbeat("m1", "", "big", "a", false, 1, 2, 7, null, listOf(first.shown()))
         assertEquals(HeartbeatDecision.Stale, partition.handleHeartbeat(late, 4_500))
         assertTrue(!partition.machine("m1")!!.attempts.containsKey(first.attempt))
@@ -244,7 +263,7 @@
         partition.updateRegisteredMachines(names.toSet())
         partition.updateJob(job(1, machines * 2, "red"), inherited = false)
         partition.waitingWork.follow(partition.jobs)
-        val starts = names.associateWith { name -> partition.hear(name, 10).filter { it.op == "start" } }
+        val starts = names.associateWith { name -> partition.hear(name, 10).filter { it.op == CommandOperation.START } }
         partition.updateJob(job(2, 10, "blue"), inherited = false)
         partition.markCovered(1, beforeAll = true) { it.id == "j-000002" }
         val settings = LoadSpreadSettings(LoadSpreadMode.ACT, patienceS = 0.0)
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -53,9 +53,9 @@
 import io.otterknot.testing.StoreFixture
 import io.otterknot.testing.applyRecord
 import io.otterknot.testing.jobChange
-import io.otterknot.wire.Command
 import io.otterknot.wire.ExitCause
 import io.otterknot.wire.Heartbeat
+import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.HeartbeatResponse
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.JobStatus
@@ -66,6 +66,7 @@
 import io.otterknot.wire.LeaseGrant
 import io.otterknot.wire.LeaseRequest
 import io.otterknot.wire.ListedMachine
+import io.otterknot.wire.ListedMachineState
 import io.otterknot.wire.MachineList
 import io.otterknot.wire.MachineNames
 import io.otterknot.wire.MachineType
@@ -692,8 +693,14 @@
             machine = "m-000231", endpoint = "10.1.0.232:9000", type = "g8", zone = "a", spot = true, epoch = 1,
             sequence = 88, fencingToken = 41, spotNoticeS = null,
             tasks = listOf(
-                TaskStatus(task = "j-000412/3", attempt = 2, state = "running", cause = null, saved = null),
-                TaskStatus(task = "j-000398/0", attempt = 1, state = "exited", cause = "done", saved = null),
+                TaskStatus(task = "j-000412/3", attempt = 2, state = TaskState.RUNNING, cause = null, saved = null),
+                TaskStatus(
+                    task = "j-000398/0",
+                    attempt = 1,
+                    state = TaskState.EXITED,
+                    cause = ExitCause.DONE,
+                    saved = null,
+                ),
             ),
         )
 
@@ -741,7 +748,7 @@
             Text(
                 "task that was stopped",
                 TaskStatus.serializer(),
-                TaskStatus("j-1/0", 3, "exited", "stopped", true),
+                TaskStatus("j-1/0", 3, TaskState.EXITED, ExitCause.STOPPED, true),
                 """{"Chore":"j-1/0","Try":3,"Mood":"exited","Cause":"stopped","Saved":true}""",
             ),
             Text(
@@ -750,9 +757,9 @@
                 HeartbeatResponse(
                     fencingToken = 41,
                     commands = listOf(
-                        Command.start("j-000412/4", 2),
-                        Command.halt("j-000377/1", 1, 10.0),
-                        Command.forget("j-000398/0", 1),
+                        HeartbeatCommand.start("j-000412/4", 2),
+                        HeartbeatCommand.halt("j-000377/1", 1, 10.0),
+                        HeartbeatCommand.forget("j-000398/0", 1),
                     ),
                 ),
                 """{"Warrant":41,"Calls":[{"Call":"start","Chore":"j-000412/4","Try":2},""" +
@@ -824,7 +831,9 @@
                 "list of machines",
                 MachineList.serializer(),
                 MachineList(
-                    listOf(ListedMachine("m-000231", "10.1.0.232:9000", "g8", "a", true, "running", 61.5)),
+                    listOf(
+                        ListedMachine("m-000231", "10.1.0.232:9000", "g8", "a", true, ListedMachineState.RUNNING, 61.5),
+                    ),
                     more = true,
                 ),
                 """{"Holts":[{"Uid":"m-000231","Endpoint":"10.1.0.232:9000","Breed":"g8","Reach":"a",""" +
@@ -833,7 +842,10 @@
             Text(
                 "list of a machine without an address",
                 MachineList.serializer(),
-                MachineList(listOf(ListedMachine("m-1", null, "g8", "a", false, "booting", 0.0)), false),
+                MachineList(
+                    listOf(ListedMachine("m-1", null, "g8", "a", false, ListedMachineState.BOOTING, 0.0)),
+                    false,
+                ),
                 """{"Holts":[{"Uid":"m-1","Breed":"g8","Reach":"a","Driftwood":false,"Mood":"booting",""" +
                     """"HeldS":0.0}],"More":false}""",
                 """{"Holts":[{"Uid":"m-1","Endpoint":null,"Breed":"g8","Reach":"a","Mood":"booting"}]}""",
@@ -1200,10 +1212,15 @@
                 Priority.byWire.entries.joinToString(" ")
             },
             Exact("states of tasks", "fetching running saving exited") {
-                listOf(TaskState.FETCHING, TaskState.RUNNING, TaskState.SAVING, TaskState.EXITED).joinToString(" ")
+                listOf(TaskState.FETCHING, TaskState.RUNNING, TaskState.SAVING, TaskState.EXITED)
+                    .joinToString(" ") { it.wireName }
+            },
+            Exact("all states of tasks", "exited fetching running saving") {
+                (TaskState.entries - TaskState.UNRECOGNIZED).map { it.wireName }.sorted().joinToString(" ")
+            },
+            Exact("causes of an exit", "done error") {
+                "${ExitCause.DONE.wireName} ${ExitCause.ERROR.wireName}"
             },
-            Exact("all states of tasks", "exited fetching running saving") { TaskState.all.sorted().joinToString(" ") },
-            Exact("causes of an exit", "done error") { "${ExitCause.DONE} ${ExitCause.ERROR}" },
             Exact("mark of a line in the log", "load-spread ") { MoveJournal.MARK },
             Exact("line in the log", "load-spread $HANDOVER_TEXT") {
                 MoveJournal.MARK + MoveJournal.encode(
--- a/src/test/kotlin/io/otterknot/testing/FakeCloud.kt
+++ b/src/test/kotlin/io/otterknot/testing/FakeCloud.kt
@@ -3,6 +3,7 @@
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
 import io.otterknot.wire.ListedMachine
+import io.otterknot.wire.ListedMachineState
 import io.otterknot.wire.MachineList
 import io.otterknot.wire.MachineNames
 import io.otterknot.wire.MachineType
@@ -58,7 +59,15 @@
 
     private fun list(): Reply {
         val listed = workers.filter { nowMs() - it.bornMs > 2_000 }.map {
-            ListedMachine(it.id, null, "big", it.zone, it.spot, "running", (nowMs() - it.bornMs) / 1000.0)
+            ListedMachine(
+                it.id,
+                null,
+                "big",
+                it.zone,
+                it.spot,
+                ListedMachineState.RUNNING,
+                (nowMs() - it.bornMs) / 1000.0,
+            )
         }
         return answer(200, WireJson.encodeToString(MachineList.serializer(), MachineList(listed)))
     }
--- a/src/test/kotlin/io/otterknot/testing/SimulatedWorker.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedWorker.kt
@@ -1,10 +1,13 @@
 package io.otterknot.testing
 
 import io.otterknot.http.HttpResponse
-import io.otterknot.wire.Command
+import io.otterknot.wire.CommandOperation
+import io.otterknot.wire.ExitCause
 import io.otterknot.wire.Heartbeat
+import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.HeartbeatResponse
 import io.otterknot.wire.LeaderRedirect
+import io.otterknot.wire.TaskState
 import io.otterknot.wire.TaskStatus
 import io.otterknot.wire.WireJson
 import kotlinx.coroutines.delay
@@ -15,8 +18,14 @@
 
 /** The worker of one machine: it reports, keeps its lease, and carries out what answers say. */
 class SimulatedWorker(private val cluster: SimulatedCluster, val id: String, val zone: String, val spot: Boolean) {
-    private class Task(val job: String, val attempt: Long, var state: String, var cause: String?, var doneMs: Long) {
-        val isOver: Boolean get() = state == "exited"
+    private class Task(
+        val job: String,
+        val attempt: Long,
+        var state: TaskState,
+        var cause: ExitCause?,
+        var doneMs: Long,
+    ) {
+        val isOver: Boolean get() = state == TaskState.EXITED
     }
 
     private val nowMs = cluster.nowMs
@@ -63,7 +72,7 @@
     /** Tasks that are on this machine: they have their image and have not exited. */
     fun holding(): Map<String, SimulatedTask> {
         expire()
-        return tasks.filterValues { it.state == "running" }.entries
+        return tasks.filterValues { it.state == TaskState.RUNNING }.entries
             .associate { (key, task) -> name(key) to SimulatedTask(task.job, task.attempt) }
     }
 
@@ -93,13 +102,13 @@
 
     private fun advance(name: String, task: Task) {
         val spec = rules.spec(task.job)
-        if (task.state == "fetching") {
+        if (task.state == TaskState.FETCHING) {
             rules.starting(this, name, spec)
-            task.state = "running"
+            task.state = TaskState.RUNNING
             task.doneMs = nowMs() + ((cluster.runS[name] ?: spec.estimateS) * 1000).toLong()
-        } else if (task.state == "running") {
-            task.state = "exited"
-            task.cause = "done"
+        } else if (task.state == TaskState.RUNNING) {
+            task.state = TaskState.EXITED
+            task.cause = ExitCause.DONE
             if (rules.completed(name, spec)) cluster.onLastEnd(spec)
         }
     }
@@ -181,30 +190,31 @@
         node = other?.takeIf { it != node } ?: nodes[(nodes.indexOf(node) + 1) % nodes.size]
     }
 
-    private fun execute(command: Command) {
+    private fun execute(command: HeartbeatCommand) {
         val key = "${command.task}#${command.attempt}"
         val task = tasks[key]
         when (command.op) {
-            "start" -> if (task == null) tasks[key] = start(command)
+            CommandOperation.START -> if (task == null) tasks[key] = start(command)
 
-            "halt" -> if (task != null && !task.isOver) {
-                task.state = "exited"
-                task.cause = "stopped"
+            CommandOperation.HALT -> if (task != null && !task.isOver) {
+                task.state = TaskState.EXITED
+                task.cause = ExitCause.STOPPED
             }
 
-            "forget" -> if (task?.isOver == true) tasks.remove(key)
+            CommandOperation.FORGET -> if (task?.isOver == true) tasks.remove(key)
         }
     }
 
-    private fun start(command: Command): Task {
+    private fun start(command: HeartbeatCommand): Task {
         val job = command.task.substringBefore('/')
         val cause = when {
-            tasks.any { name(it.key) == command.task && !it.value.isOver } -> "busy"
-            rules.spec(job).cores > freeCores -> "no_room"
-            faulty -> "error"
+            tasks.any { name(it.key) == command.task && !it.value.isOver } -> ExitCause.BUSY
+            rules.spec(job).cores > freeCores -> ExitCause.NO_ROOM
+            faulty -> ExitCause.ERROR
             else -> null
         }
-        return Task(job, command.attempt, if (cause == null) "fetching" else "exited", cause, nowMs() + FETCH_MS)
+        val state = if (cause == null) TaskState.FETCHING else TaskState.EXITED
+        return Task(job, command.attempt, state, cause, nowMs() + FETCH_MS)
     }
 
     private companion object {
--- a/src/test/kotlin/io/otterknot/wire/WireTest.kt
+++ b/src/test/kotlin/io/otterknot/wire/WireTest.kt
@@ -121,6 +121,45 @@
         assertThrows(MalformedMessageException::class.java) { parseHeartbeat(body.encodeToByteArray()) }
     }
 
+    @ParameterizedTest
+    @CsvSource(
+        "done,DONE",
+        "stopped,STOPPED",
+        "error,ERROR",
+        "no_room,NO_ROOM",
+        "busy,BUSY",
+        "unknown,UNKNOWN",
+        "x,UNRECOGNIZED",
+    )
+    fun `every cause of an exit is read, also one of a later version`(text: String, cause: ExitCause) {
+        val task = """{"Chore":"j-1/0","Try":1,"Mood":"exited","Cause":"$text"}"""
+        val body = """{"Holt":"m","Breed":"g","Reach":"a","Dive":1,"Ripple":1,"Chores":[$task]}"""
+        assertEquals(cause, parseHeartbeat(body.encodeToByteArray()).tasks.single().cause)
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+        delimiter = '|',
+        value = [
+            "0|j-1/0|Holt, Dive, Ripple or Warrant out of range",
+            "1|j-1|Chore is not a task",
+            "1|j-1/0|Mood of a task is unknown",
+        ],
+    )
+    fun `an unknown state of a task is refused after everything else`(epoch: Int, task: String, refusal: String) {
+        val body = """{"Holt":"m","Breed":"g","Reach":"a","Dive":$epoch,"Ripple":1,""" +
+            """"Chores":[{"Chore":"$task","Try":1,"Mood":"flying"}]}"""
+        val refused = assertThrows(MalformedMessageException::class.java) { parseHeartbeat(body.encodeToByteArray()) }
+        assertEquals(refusal, refused.message)
+    }
+
+    @Test
+    fun `a state of a machine that only a later version of the cloud knows is read`() {
+        val body = """{"Holts":[{"Uid":"m-1","Breed":"g8","Reach":"a","Mood":"parked"}]}"""
+        val machine = WireJson.decodeFromString(MachineList.serializer(), body).machines.single()
+        assertEquals(ListedMachineState.UNRECOGNIZED, machine.state)
+    }
+
     @Test
     fun `controllers' messages survive their frames`() {
         for (message in listOf(
