--- a/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
+++ b/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
@@ -1,12 +1,12 @@
 package io.otterknot.cli
 
-import io.otterknot.config.HostPort
 import io.otterknot.config.OperatorSettingsFile
 import io.otterknot.config.SettingsFile
 import io.otterknot.http.HttpClient
 import io.otterknot.http.HttpResponse
 import io.otterknot.http.HttpServer
 import io.otterknot.metrics.Metrics
+import io.otterknot.net.HostPort
 import io.otterknot.wire.MAX_BODY_BYTES
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
--- a/src/main/kotlin/io/otterknot/cli/Main.kt
+++ b/src/main/kotlin/io/otterknot/cli/Main.kt
@@ -1,17 +1,18 @@
 package io.otterknot.cli
 
-import io.otterknot.config.HostPort
 import io.otterknot.config.InvalidSettingsException
 import io.otterknot.config.OperatorSettings
 import io.otterknot.config.OperatorSettingsFile
 import io.otterknot.config.OperatorSettingsFollower
 import io.otterknot.config.Settings
 import io.otterknot.config.SettingsFile
+import io.otterknot.config.parse
 import io.otterknot.controller.Controller
 import io.otterknot.controller.ControllerTransports
 import io.otterknot.http.HttpClient
 import io.otterknot.http.HttpServer
 import io.otterknot.net.EventLoop
+import io.otterknot.net.HostPort
 import io.otterknot.peer.PeerClient
 import io.otterknot.peer.PeerServer
 import io.otterknot.wire.MAX_BODY_BYTES
@@ -159,9 +160,9 @@
 ): Unit = coroutineScope {
     val stateAddress = HostPort.parse("endpoints.state", settings.endpoints.state)
     val links = ControllerTransports(
-        state = HttpClient(loop, stateAddress, keep = 4),
-        watch = HttpClient(loop, stateAddress, keep = 1),
-        cloud = HttpClient(loop, HostPort.parse("endpoints.cloud", settings.endpoints.cloud), keep = 2),
+        state = HttpClient(loop, stateAddress, maxIdle = 4),
+        watch = HttpClient(loop, stateAddress, maxIdle = 1),
+        cloud = HttpClient(loop, HostPort.parse("endpoints.cloud", settings.endpoints.cloud), maxIdle = 2),
         peers = settings.members.associate { it.label to PeerClient(loop, HostPort.parse(it.label, it.endpoint)) },
     )
     val controller = Controller(
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/config/HostPortSetting.kt
@@ -0,0 +1,18 @@
+package io.otterknot.config
+
+import io.otterknot.net.HostPort
+
+private const val MAX_PORT = 65_535
+
+/**
+ * Reads the address [text] of the setting [name].
+ *
+ * @throws InvalidSettingsException if it is not `HOST:PORT`
+ */
+fun HostPort.Companion.parse(name: String, text: String): HostPort {
+    val port = text.substringAfterLast(':', "").toIntOrNull()
+    val host = text.substringBeforeLast(':', "")
+    val isValid = host.isNotEmpty() && port != null && port in 0..MAX_PORT
+    if (!isValid || port == null) throw InvalidSettingsException("$name is not HOST:PORT: $text")
+    return HostPort(host, port)
+}
--- a/src/main/kotlin/io/otterknot/config/Settings.kt
+++ b/src/main/kotlin/io/otterknot/config/Settings.kt
@@ -2,6 +2,7 @@
 
 import com.akuleshov7.ktoml.Toml
 import com.akuleshov7.ktoml.TomlInputConfig
+import io.otterknot.net.HostPort
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.SerializationException
@@ -96,21 +97,6 @@
 @Serializable
 data class MachineLimits(@SerialName("fd_limit") val fdLimit: Int = 512)
 
-data class HostPort(val host: String, val port: Int) {
-    companion object {
-        fun parse(name: String, text: String): HostPort {
-            val port = text.substringAfterLast(':', "").toIntOrNull()
-            val host = text.substringBeforeLast(':', "")
-            if (host.isEmpty() || port == null ||
-                port !in 0..65_535
-            ) {
-                throw InvalidSettingsException("$name is not HOST:PORT: $text")
-            }
-            return HostPort(host, port)
-        }
-    }
-}
-
 object SettingsFile {
     private val toml = Toml(inputConfig = TomlInputConfig(ignoreUnknownNames = true))
 
--- a/src/main/kotlin/io/otterknot/http/HttpClient.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpClient.kt
@@ -1,27 +1,30 @@
 package io.otterknot.http
 
-import io.otterknot.config.HostPort
 import io.otterknot.net.EventLoop
+import io.otterknot.net.HostPort
 import io.otterknot.net.TcpConnection
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.TimeoutCancellationException
 import kotlinx.coroutines.withTimeout
 
-/** Requests to one address over a few kept connections, each carrying one request at a time. */
-class HttpClient(private val loop: EventLoop, private val address: HostPort, private val keep: Int = 3) : Transport {
+/** An HTTP/1.1 client for [address] that keeps up to [maxIdle] connections, each carrying one request at a time. */
+class HttpClient(private val loop: EventLoop, private val address: HostPort, private val maxIdle: Int = 3) : Transport {
     private val idle = ArrayDeque<TcpConnection>()
 
+    /** A reply and whether its connection may carry another request. */
+    private class Exchange(val reply: Reply, val isReusable: Boolean)
+
     override suspend fun call(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
         var connection: TcpConnection? = null
-        var whole = false
+        var isReusable = false
         try {
             return withTimeout(timeoutMs) {
-                val used = keptConnection() ?: TcpConnection.open(loop, address)
+                val used = takeIdle() ?: TcpConnection.open(loop, address)
                 connection = used
                 send(used, method, target, body)
-                val (answer, reusable) = receive(used)
-                whole = reusable
-                answer
+                val exchange = receive(used)
+                isReusable = exchange.isReusable
+                exchange.reply
             }
         } catch (e: TimeoutCancellationException) {
             return Reply.None("no answer within $timeoutMs ms")
@@ -30,12 +33,12 @@
         } catch (e: Exception) {
             return Reply.None(e.message ?: e.javaClass.simpleName)
         } finally {
-            connection?.let { if (whole && idle.size < keep) idle.addFirst(it) else it.close() }
+            connection?.let { if (isReusable && idle.size < maxIdle) idle.addFirst(it) else it.close() }
         }
     }
 
-    /** One that the other side has closed meanwhile would lose the request. */
-    private fun keptConnection(): TcpConnection? {
+    /** A kept connection; those that the server has closed meanwhile are dropped, as they would lose the request. */
+    private fun takeIdle(): TcpConnection? {
         while (true) {
             val connection = idle.removeFirstOrNull() ?: return null
             if (connection.isReusable) return connection
@@ -44,29 +47,32 @@
     }
 
     private suspend fun send(connection: TcpConnection, method: String, target: String, body: ByteArray?) {
-        val head = StringBuilder(128)
+        val head = StringBuilder(TYPICAL_HEAD_CHARS)
         head.append(method).append(' ').append(target).append(" HTTP/1.1\r\nHost: ")
         head.append(address.host).append(':').append(address.port)
         if (body != null || method != "GET") {
             head.append("\r\nContent-Type: application/json\r\nContent-Length: ").append(body?.size ?: 0)
         }
         head.append("\r\n\r\n")
-        val bytes = head.toString().encodeToByteArray()
-        connection.send(if (body == null) bytes else bytes + body)
+        val headBytes = head.toString().encodeToByteArray()
+        connection.send(if (body == null) headBytes else headBytes + body)
     }
 
-    private suspend fun receive(connection: TcpConnection): Pair<Reply, Boolean> {
-        val closed = Reply.None("connection closed") to false
-        val head = HttpHead.receive(connection) ?: return closed
-        val status = head.startLine.getOrNull(1)?.toIntOrNull()
-        val length = head["Content-Length"]?.toIntOrNull()
-        if (status == null) return Reply.None("not HTTP") to false
-        if (length == null || length > MAX_ANSWER) return Reply.None("answer without a usable length") to false
-        if (!connection.receive(length.toLong())) return closed
-        return Reply.Answer(status, connection.input.readByteArray(length.toLong())) to !head.asksClose
+    private suspend fun receive(connection: TcpConnection): Exchange {
+        val head = HttpHead.receive(connection) ?: return failed("connection closed")
+        val status = head.startLine.getOrNull(1)?.toIntOrNull() ?: return failed("not HTTP")
+        val bodyBytes = head["Content-Length"]?.toIntOrNull()
+        if (bodyBytes == null || bodyBytes > MAX_BODY_BYTES) return failed("answer without a usable length")
+        if (!connection.receive(bodyBytes.toLong())) return failed("connection closed")
+        val body = connection.input.readByteArray(bodyBytes.toLong())
+        return Exchange(Reply.Answer(status, body), !head.closesConnection)
     }
 
+    private fun failed(reason: String) = Exchange(Reply.None(reason), isReusable = false)
+
     private companion object {
-        const val MAX_ANSWER = 16 * 1024 * 1024
+        /** A larger response counts as none; pages of the key-value store have 512 KiB. */
+        const val MAX_BODY_BYTES = 16 * 1024 * 1024
+        const val TYPICAL_HEAD_CHARS = 128
     }
 }
--- a/src/main/kotlin/io/otterknot/http/HttpHead.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpHead.kt
@@ -3,14 +3,14 @@
 import io.otterknot.net.TcpConnection
 import okio.Buffer
 
-/** A message that is not HTTP; the text is told to its sender. */
-internal class MalformedHttp(message: String) : Exception(message, null, false, false)
+/** A message that is not HTTP; the text goes back to its sender. */
+internal class MalformedHttpException(message: String) : Exception(message, null, false, false)
 
 /**
  * The head of an HTTP message: its first line, cut at spaces, and its header fields.
  *
  * It is read by this class and not by Ktor's parser, since the JVM's client compiler gives up on that ("block join
- * failed" on `parseRequest` and `parseHeaders`): it would be interpreted for ever, at a fifth of a controller's
+ * failed" on `parseRequest` and `parseHeaders`): it would stay interpreted, at a fifth of a controller's
  * processor time in the first seconds after a start.
  */
 internal class HttpHead private constructor(val startLine: List<String>, private val fields: List<Field>) {
@@ -18,40 +18,48 @@
 
     operator fun get(name: String): String? = fields.firstOrNull { it.name.equals(name, ignoreCase = true) }?.value
 
-    val asksClose: Boolean get() = this["Connection"].equals("close", ignoreCase = true)
+    val closesConnection: Boolean get() = this["Connection"].equals("close", ignoreCase = true)
 
     val isChunked: Boolean get() = this["Transfer-Encoding"].equals("chunked", ignoreCase = true)
 
     companion object {
         private const val LINE_FEED = '\n'.code.toByte()
         private const val CARRIAGE_RETURN = '\r'.code.toByte()
-        private const val MOST_BYTES = 16_384L
+        private const val MAX_HEAD_BYTES = 16_384L
 
-        /** The most bytes of a head's end that may have come without its last one. */
-        private const val PART_OF_AN_END = 2
+        /** How many bytes of a head's end may have arrived without its last byte. */
+        private const val END_BYTES_WITHOUT_LAST = 2
         private const val START_LINE_PARTS = 3
 
-        /** The next head on [connection]; null: the other side sends no more. */
+        /**
+         * The next head on [connection]; null: the peer has closed it.
+         *
+         * @throws MalformedHttpException if it is longer than [MAX_HEAD_BYTES] or a header line has no name
+         */
         suspend fun receive(connection: TcpConnection): HttpHead? {
             val input = connection.input
             var searchedTo = 0L
             while (true) {
                 if (searchedTo == 0L) skipEmptyLines(input)
-                val end = end(input, searchedTo)
+                val end = endOfHead(input, searchedTo)
                 if (end >= 0) return parse(input.readString(end, Charsets.ISO_8859_1))
-                if (input.size > MOST_BYTES) throw MalformedHttp("the head has more than $MOST_BYTES bytes")
-                searchedTo = maxOf(0L, input.size - PART_OF_AN_END)
+                if (input.size >
+                    MAX_HEAD_BYTES
+                ) {
+                    throw MalformedHttpException("the head has more than $MAX_HEAD_BYTES bytes")
+                }
+                searchedTo = maxOf(0L, input.size - END_BYTES_WITHOUT_LAST)
                 if (!connection.receive()) return null
             }
         }
 
-        /** Some clients send a line end too many after a body. */
+        /** Some clients send one line end too many after a body (RFC 9112, section 2.2). */
         private fun skipEmptyLines(input: Buffer) {
             while (!input.exhausted() && (input[0] == CARRIAGE_RETURN || input[0] == LINE_FEED)) input.skip(1)
         }
 
-        /** Where the body begins: after a line feed that only a line end follows; -1: that has not come yet. */
-        private fun end(input: Buffer, from: Long): Long {
+        /** Where the body begins: after a line feed that only a line end follows; -1: it has not arrived yet. */
+        private fun endOfHead(input: Buffer, from: Long): Long {
             var lineEnd = input.indexOf(LINE_FEED, from)
             while (lineEnd >= 0) {
                 var next = lineEnd + 1
@@ -80,7 +88,7 @@
 
         private fun field(text: String, from: Int, until: Int): Field {
             val colon = text.indexOf(':', from)
-            if (colon <= from || colon >= until) throw MalformedHttp("a header line without a name")
+            if (colon <= from || colon >= until) throw MalformedHttpException("a header line without a name")
             return Field(text.substring(from, colon), text.substring(colon + 1, until).trim())
         }
     }
--- a/src/main/kotlin/io/otterknot/http/HttpServer.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpServer.kt
@@ -1,239 +1,126 @@
 package io.otterknot.http
 
-import io.ktor.http.HttpProtocolVersion
-import io.ktor.http.cio.parseHttpBody
-import io.ktor.utils.io.ByteChannel
-import io.ktor.utils.io.readAvailable
-import io.ktor.utils.io.writeFully
-import io.otterknot.config.HostPort
 import io.otterknot.net.EventLoop
+import io.otterknot.net.HostPort
 import io.otterknot.net.TcpConnection
 import io.otterknot.net.TcpListener
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CoroutineScope
-import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
 /**
- * How long a connection may be idle, and how long a request may take to come whole from when it is first seen to have
- * begun; connections are looked at every [checkMs].
- */
-class ConnectionLimits(val idleMs: Long = 180_000, val requestMs: Long = 10_000, val checkMs: Long = 5_000)
-
-/**
- * HTTP/1.1, one coroutine for a connection, one request at a time. Of Ktor's CIO engine it uses the decoder of chunked
- * bodies; the rest of it is too dear for a twentieth of a core: its routing takes seconds to start.
+ * An HTTP/1.1 server without pipelining: one coroutine for each connection, one request at a time. Beyond
+ * [maxConnections] a new connection is closed at once.
+ *
+ * Only the decoder of chunked bodies is Ktor's CIO engine's: the engine itself takes seconds to start on a twentieth of
+ * a core.
  */
 class HttpServer(
     private val loop: EventLoop,
     private val maxConnections: Int,
-    private val maxBody: Int,
+    maxBodyBytes: Int,
     private val limits: ConnectionLimits = ConnectionLimits(),
     private val handler: suspend (HttpRequest) -> HttpResponse,
 ) {
     private val log = LoggerFactory.getLogger(HttpServer::class.java)
-    private val open = HashSet<Exchange>()
+    private val reader = RequestReader(maxBodyBytes)
+    private val connections = HashSet<ServerConnection>()
 
     /** How many connections have been accepted since the start. */
-    var accepted = 0
+    var acceptedCount = 0
         private set
 
+    /**
+     * Listens on [address].
+     *
+     * @throws IOException if the address is in use or not local
+     */
     fun bind(address: HostPort): TcpListener = TcpListener.bind(loop, address)
 
-    /** Accepts connections for as long as [scope] lives. */
+    /** Accepts and serves connections of [listener] until cancelled; their coroutines belong to [scope]. */
     suspend fun serve(scope: CoroutineScope, listener: TcpListener) {
-        scope.launch { closeIdle() }
+        scope.launch { enforceLimits() }
         while (true) {
-            val connection = try {
+            val socket = try {
                 listener.accept()
             } catch (e: IOException) {
-                // Out of sockets: the ones in use will come free; a loop without a pause would eat the processor.
-                log.warn("cannot accept a connection: {}", e.message)
-                delay(ACCEPT_PAUSE_MS)
+                // Out of file descriptors: some will come free. Without a pause the loop would use up the processor.
+                log.warn("cannot accept a connection: error={}", e.message)
+                delay(ACCEPT_RETRY_MS)
                 continue
             }
-            if (open.size >= maxConnections) {
-                connection.close()
+            if (connections.size >= maxConnections) {
+                socket.close()
                 continue
             }
-            accepted++
-            val exchange = Exchange(connection)
-            open.add(exchange)
-            scope.launch { converse(exchange) }
-        }
-    }
-
-    /** A connection, and how long its client has let it wait. */
-    private class Exchange(val connection: TcpConnection) {
-        private var waits = true
-        private var hasHead = false
-        private var idleSinceNs = System.nanoTime()
-
-        /** When the request that is coming was first seen to have begun; null: nothing of it has come. */
-        private var begunNs: Long? = null
-
-        private val hasBegun: Boolean get() = hasHead || !connection.input.exhausted()
-
-        /** The connection waits for its next request. */
-        fun waits() {
-            idleSinceNs = System.nanoTime()
-            begunNs = null
-            hasHead = false
-            waits = true
-        }
-
-        /** The head has come; a body may have to follow. */
-        fun hasHead() {
-            hasHead = true
-        }
-
-        fun works() {
-            waits = false
-        }
-
-        /** Ends what has waited for too long; a request that has begun to come has to be whole soon. */
-        fun check(now: Long, limits: ConnectionLimits) {
-            if (!waits) return
-            if (!hasBegun) {
-                if (now - idleSinceNs > limits.idleMs * NS_A_MS) connection.close()
-                return
-            }
-            val begun = begunNs ?: now.also { begunNs = it }
-            if (now - begun > limits.requestMs * NS_A_MS) connection.interrupt(LateRequest())
+            acceptedCount++
+            val connection = ServerConnection(socket)
+            connections.add(connection)
+            scope.launch { serveRequests(connection) }
         }
     }
 
-    /** A request did not come whole in time. */
-    private class LateRequest : IOException("the request did not come whole in time")
-
-    /** One look at all connections now and then costs less than a timer for each request. */
-    private suspend fun closeIdle() {
+    /** One pass over all connections every few seconds costs less than a timer for each request. */
+    private suspend fun enforceLimits() {
         while (true) {
             delay(limits.checkMs)
-            val now = System.nanoTime()
-            open.toList().forEach { it.check(now, limits) }
+            val nowNs = System.nanoTime()
+            connections.toList().forEach { it.enforce(limits, nowNs) }
         }
     }
 
-    private suspend fun converse(exchange: Exchange) {
+    private suspend fun serveRequests(connection: ServerConnection) {
         try {
             while (true) {
-                exchange.waits()
-                val request = receive(exchange) ?: return
-                exchange.works()
-                val response = answer(request)
-                send(exchange.connection, response, close = response.close || request.asksClose)
-                if (response.close || request.asksClose) return
+                connection.awaitRequest()
+                val received = reader.receive(connection) ?: return
+                connection.requestReceived()
+                val response = respondTo(received)
+                val closes = response.close || received.closesConnection
+                send(connection.socket, response, closes)
+                if (closes) return
             }
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
-            log.debug("connection ended: {}", e.toString())
+            // A client that goes away in the middle of a request is ordinary.
+            log.debug("connection ended: error={}", e.toString())
         } finally {
-            open.remove(exchange)
-            exchange.connection.close()
+            connections.remove(connection)
+            connection.socket.close()
         }
     }
 
-    private sealed interface Received {
-        val asksClose: Boolean
-
-        class Whole(val request: HttpRequest, override val asksClose: Boolean) : Received
-
-        class Bad(val refusal: HttpResponse) : Received {
-            override val asksClose = true
-        }
-    }
-
-    private fun bad(status: Int, why: String) = Received.Bad(HttpResponse.refusal(status, why, close = true))
-
-    /** The next request; null: the client has closed the connection. */
-    private suspend fun receive(exchange: Exchange): Received? = try {
-        receiveInTime(exchange)
-    } catch (e: MalformedHttp) {
-        bad(400, e.message.orEmpty())
-    } catch (e: LateRequest) {
-        bad(400, e.message.orEmpty())
-    }
-
-    private suspend fun receiveInTime(exchange: Exchange): Received? {
-        val connection = exchange.connection
-        val head = HttpHead.receive(connection) ?: return null
-        exchange.hasHead()
-        if (head.startLine.size < 3 || !head.startLine.last().startsWith("HTTP/1.")) return bad(400, "not HTTP")
-        if (head.isChunked) return receiveChunked(connection, head)
-        val length = head["Content-Length"] ?: return whole(head, EMPTY)
-        val size = length.toLongOrNull() ?: return bad(400, BAD_LENGTH)
-        if (size < 0) return bad(400, BAD_LENGTH)
-        if (size > maxBody) return bad(413, tooLarge())
-        if (!connection.receive(size)) return null
-        return whole(head, connection.input.readByteArray(size))
-    }
-
-    /** What comes after the body is lost with the decoder, so the connection is closed after the answer. */
-    private suspend fun receiveChunked(connection: TcpConnection, head: HttpHead): Received = coroutineScope {
-        val encoded = ByteChannel(autoFlush = true)
-        val decoded = ByteChannel()
-        val decoder = launch {
-            parseHttpBody(HttpProtocolVersion.HTTP_1_1, -1L, "chunked", null, encoded, decoded)
-            decoded.flushAndClose()
-        }
-        val pump = launch {
-            do encoded.writeFully(connection.input.readByteArray()) while (connection.receive())
-            encoded.flushAndClose()
-        }
-        val buffer = ByteArray(maxBody + 1)
-        var size = 0
-        while (size <= maxBody) {
-            val got = decoded.readAvailable(buffer, size, buffer.size - size)
-            if (got < 0) break
-            size += got
-        }
-        pump.cancel()
-        decoder.cancel()
-        if (size > maxBody) bad(413, tooLarge()) else whole(head, buffer.copyOf(size), asksClose = true)
-    }
-
-    private fun whole(head: HttpHead, body: ByteArray, asksClose: Boolean = head.asksClose): Received {
-        val (method, target) = head.startLine
-        val path = target.substringBefore('?')
-        return Received.Whole(HttpRequest(method, path, body, target.substring(path.length)), asksClose)
-    }
-
-    private fun tooLarge() = "a body may have at most $maxBody bytes"
-
-    private suspend fun answer(received: Received): HttpResponse = when (received) {
-        is Received.Bad -> received.refusal
+    private suspend fun respondTo(received: ReceivedRequest): HttpResponse = when (received) {
+        is ReceivedRequest.Invalid -> received.response
 
-        is Received.Whole -> try {
+        is ReceivedRequest.Complete -> try {
             handler(received.request)
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
-            log.error("{} {} failed", received.request.method, received.request.path, e)
-            HttpResponse.refusal(500, "internal error")
+            log.error("request failed: method={} path={}", received.request.method, received.request.path, e)
+            HttpResponse.refusal(HttpStatus.INTERNAL_SERVER_ERROR, "internal error")
         }
     }
 
-    private suspend fun send(connection: TcpConnection, response: HttpResponse, close: Boolean) {
-        val head = StringBuilder(160)
-        head.append("HTTP/1.1 ").append(response.status).append(' ').append(reasons[response.status] ?: "Status")
+    private suspend fun send(socket: TcpConnection, response: HttpResponse, close: Boolean) {
+        val head = StringBuilder(TYPICAL_HEAD_CHARS)
+        head.append("HTTP/1.1 ").append(response.status).append(' ').append(HttpStatus.reasonPhrase(response.status))
         head.append("\r\nContent-Type: application/json\r\nContent-Length: ").append(response.body.size)
         response.retryAfterS?.let { head.append("\r\nRetry-After: ").append(it) }
         response.allow?.let { head.append("\r\nAllow: ").append(it) }
         if (close) head.append("\r\nConnection: close")
         head.append("\r\n\r\n")
         // One write, so that head and body leave in one packet.
-        connection.send(head.toString().encodeToByteArray() + response.body)
+        socket.send(head.toString().encodeToByteArray() + response.body)
     }
 
     private companion object {
-        const val ACCEPT_PAUSE_MS = 100L
-        const val NS_A_MS = 1_000_000L
-        const val BAD_LENGTH = "bad Content-Length"
-        val EMPTY = ByteArray(0)
+        const val ACCEPT_RETRY_MS = 100L
+        const val TYPICAL_HEAD_CHARS = 160
     }
 }
--- a/src/main/kotlin/io/otterknot/http/Messages.kt
+++ b/src/main/kotlin/io/otterknot/http/Messages.kt
@@ -4,9 +4,16 @@
 import io.otterknot.wire.WireJson
 import kotlinx.serialization.KSerializer
 
-/** [query] is what follows the path, with its question mark. */
+/** A request whose body has arrived whole; [query] is what follows [path], with its question mark. */
 class HttpRequest(val method: String, val path: String, val body: ByteArray, val query: String = "")
 
+/**
+ * A response with a JSON [body].
+ *
+ * @property retryAfterS seconds for `Retry-After`; null: the field is left out
+ * @property allow the methods for `Allow`; null: the field is left out
+ * @property close whether the connection is closed after it
+ */
 class HttpResponse(
     val status: Int,
     val body: ByteArray,
@@ -15,33 +22,35 @@
     val close: Boolean = false,
 ) {
     companion object {
+        /** A response with [value] as its body. */
         fun <T> json(status: Int, serializer: KSerializer<T>, value: T) =
             HttpResponse(status, WireJson.encodeToString(serializer, value).encodeToByteArray())
 
-        /** Every refusal says why; one that may be tried again says when. */
-        fun refusal(status: Int, why: String, retryAfterS: Int? = null, allow: String? = null, close: Boolean = false) =
-            HttpResponse(
-                status,
-                WireJson.encodeToString(Refusal.serializer(), Refusal(why)).encodeToByteArray(),
-                retryAfterS,
-                allow,
-                close,
-            )
+        /** A refusal with its [reason] in the body; one that may be retried says after how many seconds. */
+        fun refusal(
+            status: Int,
+            reason: String,
+            retryAfterS: Int? = null,
+            allow: String? = null,
+            close: Boolean = false,
+        ) = HttpResponse(
+            status,
+            WireJson.encodeToString(Refusal.serializer(), Refusal(reason)).encodeToByteArray(),
+            retryAfterS,
+            allow,
+            close,
+        )
     }
 }
 
-/** What came of a request to another service. */
+/** The outcome of a request to another service. */
 sealed interface Reply {
+    /** A response arrived, whatever its [status]. */
     class Answer(val status: Int, val body: ByteArray) : Reply {
+        /** The body as UTF-8. */
         val text: String get() = body.decodeToString()
     }
 
-    /** The request may have been carried out, may still be carried out later, or never. */
+    /** No response: the request may have been carried out, may still be carried out later, or never. */
     class None(val why: String) : Reply
 }
-
-internal val reasons = mapOf(
-    200 to "OK", 201 to "Created", 400 to "Bad Request", 404 to "Not Found", 405 to "Method Not Allowed",
-    413 to "Payload Too Large", 421 to "Misdirected Request", 422 to "Unprocessable Entity",
-    500 to "Internal Server Error", 503 to "Service Unavailable",
-)
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/http/RequestReader.kt
@@ -0,0 +1,107 @@
+package io.otterknot.http
+
+import io.ktor.http.HttpProtocolVersion
+import io.ktor.http.cio.parseHttpBody
+import io.ktor.utils.io.ByteChannel
+import io.ktor.utils.io.readAvailable
+import io.ktor.utils.io.writeFully
+import io.otterknot.net.TcpConnection
+import kotlinx.coroutines.coroutineScope
+import kotlinx.coroutines.launch
+
+/** What arrived in place of the next request. */
+internal sealed interface ReceivedRequest {
+    /** Whether the connection is closed after the response. */
+    val closesConnection: Boolean
+
+    class Complete(val request: HttpRequest, override val closesConnection: Boolean) : ReceivedRequest
+
+    /** Not a request, too large, or late; [response] says so. Where the next request begins is not known. */
+    class Invalid(val response: HttpResponse) : ReceivedRequest {
+        override val closesConnection = true
+    }
+}
+
+/** Reads requests with bodies of up to [maxBodyBytes], with a Content-Length or chunked. */
+internal class RequestReader(private val maxBodyBytes: Int) {
+    /** The next request on [connection]; null: the client has closed it. */
+    suspend fun receive(connection: ServerConnection): ReceivedRequest? = try {
+        receiveInTime(connection)
+    } catch (e: MalformedHttpException) {
+        invalid(HttpStatus.BAD_REQUEST, e.message.orEmpty())
+    } catch (e: LateRequestException) {
+        invalid(HttpStatus.BAD_REQUEST, e.message.orEmpty())
+    }
+
+    private suspend fun receiveInTime(connection: ServerConnection): ReceivedRequest? {
+        val socket = connection.socket
+        val head = HttpHead.receive(socket) ?: return null
+        connection.headReceived()
+        if (!isHttpRequest(head)) return invalid(HttpStatus.BAD_REQUEST, "not HTTP")
+        if (head.isChunked) return receiveChunked(socket, head)
+        val lengthField = head["Content-Length"] ?: return complete(head, EMPTY_BODY)
+        val bodyBytes = lengthField.toLongOrNull()
+        if (bodyBytes == null || bodyBytes < 0) return invalid(HttpStatus.BAD_REQUEST, "bad Content-Length")
+        if (bodyBytes > maxBodyBytes) return bodyTooLarge()
+        if (!socket.receive(bodyBytes)) return null
+        return complete(head, socket.input.readByteArray(bodyBytes))
+    }
+
+    private fun isHttpRequest(head: HttpHead): Boolean =
+        head.startLine.size >= REQUEST_LINE_PARTS && head.startLine.last().startsWith("HTTP/1.")
+
+    /**
+     * Decodes a chunked body with Ktor's decoder. The decoder reads ahead, so what follows the body is lost with it and
+     * the connection is closed after the response.
+     */
+    private suspend fun receiveChunked(socket: TcpConnection, head: HttpHead): ReceivedRequest = coroutineScope {
+        val encoded = ByteChannel(autoFlush = true)
+        val decoded = ByteChannel()
+        val decoder = launch {
+            parseHttpBody(HttpProtocolVersion.HTTP_1_1, -1L, "chunked", null, encoded, decoded)
+            decoded.flushAndClose()
+        }
+        val pump = launch {
+            do encoded.writeFully(socket.input.readByteArray()) while (socket.receive())
+            encoded.flushAndClose()
+        }
+        val buffer = ByteArray(maxBodyBytes + 1)
+        var bodyBytes = 0
+        while (bodyBytes <= maxBodyBytes) {
+            val readCount = decoded.readAvailable(buffer, bodyBytes, buffer.size - bodyBytes)
+            if (readCount < 0) break
+            bodyBytes += readCount
+        }
+        pump.cancel()
+        decoder.cancel()
+        if (bodyBytes > maxBodyBytes) {
+            bodyTooLarge()
+        } else {
+            complete(head, buffer.copyOf(bodyBytes), closesConnection = true)
+        }
+    }
+
+    private fun complete(
+        head: HttpHead,
+        body: ByteArray,
+        closesConnection: Boolean = head.closesConnection,
+    ): ReceivedRequest {
+        val (method, target) = head.startLine
+        val path = target.substringBefore('?')
+        return ReceivedRequest.Complete(
+            HttpRequest(method, path, body, target.substring(path.length)),
+            closesConnection,
+        )
+    }
+
+    private fun bodyTooLarge() = invalid(HttpStatus.PAYLOAD_TOO_LARGE, "a body may have at most $maxBodyBytes bytes")
+
+    private fun invalid(status: Int, reason: String) =
+        ReceivedRequest.Invalid(HttpResponse.refusal(status, reason, close = true))
+
+    private companion object {
+        /** Method, target and version. */
+        const val REQUEST_LINE_PARTS = 3
+        val EMPTY_BODY = ByteArray(0)
+    }
+}
--- a/src/main/kotlin/io/otterknot/http/Transport.kt
+++ b/src/main/kotlin/io/otterknot/http/Transport.kt
@@ -1,6 +1,7 @@
 package io.otterknot.http
 
-/** Something that carries requests to one service: a [HttpClient], or a stand-in for the service in tests. */
+/** Carries requests to one service: an [HttpClient], or a fake service in tests. */
 fun interface Transport {
+    /** Sends a request to [target], path and query, and waits up to [timeoutMs] for its outcome; never throws for I/O errors. */
     suspend fun call(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply
 }
--- a/src/main/kotlin/io/otterknot/peer/PeerLink.kt
+++ b/src/main/kotlin/io/otterknot/peer/PeerLink.kt
@@ -1,8 +1,8 @@
 package io.otterknot.peer
 
-import io.otterknot.config.HostPort
 import io.otterknot.http.Reply
 import io.otterknot.net.EventLoop
+import io.otterknot.net.HostPort
 import io.otterknot.net.TcpConnection
 import io.otterknot.net.TcpListener
 import io.otterknot.store.Relay
--- a/src/test/kotlin/io/otterknot/http/HttpLoopTest.kt
+++ b/src/test/kotlin/io/otterknot/http/HttpLoopTest.kt
@@ -1,7 +1,7 @@
 package io.otterknot.http
 
-import io.otterknot.config.HostPort
 import io.otterknot.net.EventLoop
+import io.otterknot.net.HostPort
 import io.otterknot.net.TcpConnection
 import io.otterknot.net.TcpListener
 import kotlinx.coroutines.CompletableDeferred
@@ -76,7 +76,7 @@
             address,
             _,
         ->
-        val client = HttpClient(loop, address, keep = 1)
+        val client = HttpClient(loop, address, maxIdle = 1)
         val own = Thread.currentThread()
         repeat(REQUESTS) {
             client.call("GET", "/", null, ANSWER_MS)
@@ -85,7 +85,7 @@
             assertEquals(own, Thread.currentThread(), "after a delay")
         }
         assertEquals(setOf(own), server.threads, "the handler's threads")
-        assertEquals(1, server.accepted)
+        assertEquals(1, server.acceptedCount)
     }
 
     @Test
@@ -128,7 +128,7 @@
 
     @Test
     fun `large messages pass in both directions at the same time`() = onServer { _, address, _ ->
-        val client = HttpClient(loop, address, keep = 8)
+        val client = HttpClient(loop, address, maxIdle = 8)
         val body = ByteArray(MAX_BODY) { 'x'.code.toByte() }
         coroutineScope {
             List(8) { async { client.call("POST", "/echo", body, ANSWER_MS) } }.awaitAll().forEach {
@@ -203,7 +203,7 @@
 
     private class TestServer(private val server: () -> HttpServer) {
         val threads = HashSet<Thread>()
-        val accepted: Int get() = server().accepted
+        val acceptedCount: Int get() = server().acceptedCount
     }
 
     private lateinit var loop: EventLoop
--- a/src/test/kotlin/io/otterknot/load/LoopbackLoad.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackLoad.kt
@@ -112,7 +112,7 @@
         }
 
         private suspend fun submitJobs() {
-            val client = HttpClient(loop, site.address(site.labels.single()), keep = 8)
+            val client = HttpClient(loop, site.address(site.labels.single()), maxIdle = 8)
             var number = 0
             while (true) {
                 delay(JOB_EVERY_MS * 100 / machines)
--- a/src/test/kotlin/io/otterknot/load/LoopbackSite.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackSite.kt
@@ -1,12 +1,12 @@
 package io.otterknot.load
 
-import io.otterknot.config.HostPort
 import io.otterknot.config.TeamSettings
 import io.otterknot.http.HttpResponse
 import io.otterknot.http.HttpServer
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
 import io.otterknot.net.EventLoop
+import io.otterknot.net.HostPort
 import io.otterknot.testing.FakeKeyValueStore
 import io.otterknot.wire.ListedMachine
 import io.otterknot.wire.ListedMachineState
--- a/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
@@ -54,7 +54,7 @@
     )
 
     private val zone = site.machines.getValue(id)
-    private val clients = site.labels.associateWith { HttpClient(loop, site.address(it), keep = 1) }
+    private val clients = site.labels.associateWith { HttpClient(loop, site.address(it), maxIdle = 1) }
     private val tasks = TreeMap<String, Task>()
     private val images = HashSet<String>()
     private val random = Random(id.hashCode())
--- a/src/test/kotlin/io/otterknot/load/SurgeLoad.kt
+++ b/src/test/kotlin/io/otterknot/load/SurgeLoad.kt
@@ -186,7 +186,7 @@
 
         private suspend fun untilAccepted(spec: JobSpec) {
             while (true) {
-                val client = HttpClient(loop, site.address(site.labels.random(random)), keep = 0)
+                val client = HttpClient(loop, site.address(site.labels.random(random)), maxIdle = 0)
                 val reply = client.call("POST", "/submissions", submissionBody(spec), 5_000)
                 if (reply is Reply.Answer && reply.status in 200..201) break
                 delay(1_000)
