--- a/src/main/kotlin/io/otterknot/api/JobApi.kt
+++ b/src/main/kotlin/io/otterknot/api/JobApi.kt
@@ -45,7 +45,7 @@
     private val log = LoggerFactory.getLogger(JobApi::class.java)
 
     fun ready(): HttpResponse = when {
-        !replica.loaded || types() == null -> later("starting")
+        !replica.isLoaded || types() == null -> later("starting")
         isolated() -> later("cut off from the state service and from all other controllers")
         else -> HttpResponse(200, "{}".encodeToByteArray())
     }
@@ -53,7 +53,7 @@
     suspend fun submit(body: ByteArray): HttpResponse {
         val id = peekId(body)
         if (id != null) jobs[id]?.let { return current(id, 200) }
-        if (!replica.loaded) return later("the jobs have not been read yet")
+        if (!replica.isLoaded) return later("the jobs have not been read yet")
         val spec = try {
             parseSubmission(body)
         } catch (e: MalformedMessageException) {
@@ -86,11 +86,11 @@
         var tried = limits
         repeat(SIZE_TRIES) {
             val acceptance = JobTransitions.accept(record, tried) ?: return refuse(spec.id, 400, TOO_LONG)
-            if (!client.budget.tryAcquire(acceptance.size, SUBMIT_WAIT_MS)) return later(TOO_MANY_CHANGES)
-            val outcome = client.txn(acceptance)
-            if (outcome !is TransactionOutcome.Refused || !outcome.tooLarge) return stored(spec, record, outcome)
+            if (!client.rateLimiter.tryAcquire(acceptance.size, SUBMIT_WAIT_MS)) return later(TOO_MANY_CHANGES)
+            val outcome = client.transact(acceptance)
+            if (outcome !is TransactionOutcome.Refused || !outcome.isTooLarge) return stored(spec, record, outcome)
             // Several values may be refused for their number, which says nothing of what others write.
-            if (acceptance.size == 1) limits.refused(acceptance.changes)
+            if (acceptance.size == 1) limits.reduceAfterRefusal(acceptance.changes)
             tried = if (acceptance.size == 1) limits else tried.withSmallerValues()
         }
         return refuse(spec.id, 400, TOO_LONG)
@@ -128,7 +128,7 @@
             val job = jobs[id] ?: return unknown(id)
             // Decided and guarded in one step: while the cancellation waits for its turn, the job may end.
             val cancellation = JobTransitions.cancel(job, wallMs(), limits) ?: return tell(job, 200)
-            if (!client.budget.tryAcquire(cancellation.size, SUBMIT_WAIT_MS)) return later(TOO_MANY_CHANGES)
+            if (!client.rateLimiter.tryAcquire(cancellation.size, SUBMIT_WAIT_MS)) return later(TOO_MANY_CHANGES)
             cancelled(id, cancellation)?.let { return it }
         }
         return later("the job is changing")
@@ -136,7 +136,7 @@
 
     /** Sends a cancellation; the answer to its user, or null if the job is to be looked at again. */
     private suspend fun cancelled(id: String, cancellation: CompareAndSwap): HttpResponse? {
-        when (val outcome = client.txn(cancellation)) {
+        when (val outcome = client.transact(cancellation)) {
             is TransactionOutcome.Applied -> {
                 replica.awaitRevision(outcome.revision, REACH_MS)
                 log.info("{} is cancelled", id)
@@ -149,8 +149,8 @@
             }
 
             is TransactionOutcome.Refused -> {
-                if (!outcome.tooLarge) return later(NO_CHANGES)
-                limits.refused(cancellation.changes)
+                if (!outcome.isTooLarge) return later(NO_CHANGES)
+                limits.reduceAfterRefusal(cancellation.changes)
                 return null
             }
 
--- a/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
+++ b/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
@@ -115,8 +115,8 @@
         Metrics { 0 }.apply {
             count("warm-up")
             recordDuration("warm-up", 1)
-            countsText()
-            timesText()
+            formatCounts()
+            formatDurations()
         }
         val client = HttpClient(loop, HostPort("127.0.0.1", own))
         repeat(30) { round ->
--- a/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
+++ b/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
@@ -20,7 +20,7 @@
      * The writes that make all completions of [partition] durable, and those that remove what is of no use any more.
      */
     fun writes(partition: Partition): List<PendingWrite> {
-        val segments = jobs.segments(StoreKeys.done(partition.zone, ""))
+        val segments = jobs.segments(StoreKeys.completionSegment(partition.zone, ""))
         val added = additions(partition, segments)
         val written = added.mapTo(HashSet()) { it.key }
         val removed = segments.filter { (key, record) -> key !in written && isObsolete(record) }.keys
@@ -62,10 +62,10 @@
     }
 
     private fun key(partition: Partition, number: Int) =
-        StoreKeys.done(partition.zone, "${partition.fencingToken}-$number")
+        StoreKeys.completionSegment(partition.zone, "${partition.fencingToken}-$number")
 
     private fun lastNumber(partition: Partition, keys: Set<String>): Int {
-        val prefix = StoreKeys.done(partition.zone, "${partition.fencingToken}-")
+        val prefix = StoreKeys.completionSegment(partition.zone, "${partition.fencingToken}-")
         return keys.filter { it.startsWith(prefix) }.maxOfOrNull { it.removePrefix(prefix).toInt() } ?: 0
     }
 
@@ -86,7 +86,7 @@
             val text = TaskBitmaps.encode(tasks, chunk.index, chunk.size)
             val replaced = entries[chunk.name]?.let { size(chunk.name, it) } ?: 0
             val isEmpty = bits.isEmpty() && fineBits.isEmpty()
-            if (!isEmpty && size() - replaced + size(chunk.name, text) > limits.recordBytes) return false
+            if (!isEmpty && size() - replaced + size(chunk.name, text) > limits.maxRecordBytes) return false
             entries[chunk.name] = text
             changed = true
             return true
--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -27,7 +27,9 @@
 import io.otterknot.peer.PeerRelay
 import io.otterknot.peer.PeerTransport
 import io.otterknot.quota.QuotaShares
+import io.otterknot.ratelimit.RateLimitShare
 import io.otterknot.ratelimit.RateLimiter
+import io.otterknot.ratelimit.RateLimits
 import io.otterknot.reassignment.TaskReassigner
 import io.otterknot.reassignment.TaskReassignment
 import io.otterknot.rebalance.LoadSpread
@@ -80,8 +82,8 @@
         facts.state.rps,
         facts.state.writeRps,
         nowMs,
-        { RateLimiter.Share(share(EVEN_REQUESTS), share(EVEN_CHANGES)) },
-        RateLimiter.Limits(facts.state.leastRps, facts.state.leastWriteRps),
+        { RateLimitShare(share(EVEN_REQUESTS), share(EVEN_CHANGES)) },
+        RateLimits(facts.state.leastRps, facts.state.leastWriteRps),
     )
     private val figures = Metrics(nowMs)
     private val contact = StoreHealth(nowMs)
@@ -112,7 +114,7 @@
     private val claimed = ArrayList<Claim>()
     private val cloud = CloudClient(
         links.cloud,
-        RateLimiter(facts.cloud.rps, 1.0, nowMs, { RateLimiter.Share(share(EVEN_CALLS), 1.0) }),
+        RateLimiter(facts.cloud.rps, 1.0, nowMs, { RateLimitShare(share(EVEN_CALLS), 1.0) }),
     )
     private val leaseMs = (facts.workers.leaseS * 1000).toLong()
     private val aims = ServiceLevelObjectives(objectivesByJobClass(facts.objectives))
@@ -151,7 +153,7 @@
     private val reports = HeartbeatEndpoint(settings.label, ownership, partitions, nowMs)
     private val router = RequestRouter(users, reports)
     private val dispatcher = ReplicaChangeDispatcher(jobs, partitions, machines, ownership, catalog, allotments, views)
-    private val idlePartitions = IdlePartitions(views) { contact.sound }
+    private val idlePartitions = IdlePartitions(views) { contact.isAnswering }
     private val announcer =
         IdlePartitionAnnouncer(settings.label, idlePartitions, links.peers, partitions, nowMs, random)
 
@@ -164,10 +166,10 @@
     /** Runs until cancelled. */
     suspend fun run() = coroutineScope {
         replica.onChange = dispatcher::changed
-        replica.onBatch = ::takeUpClaims
+        replica.onBatchApplied = ::takeUpClaims
         backgroundTask("contact") { stateLink.probe() }
         backgroundTask("replica") { replica.followWatch() }
-        backgroundTask("barrier") { replica.serveBarrier() }
+        backgroundTask("barrier") { replica.serveReadBarriers() }
         backgroundTask("lease") { ownership.keepStoreLease() }
         backgroundTask("claims") { ownership.acquirePartitions() }
         backgroundTask("types") {
@@ -234,7 +236,7 @@
 
     /** Asks the state service for another controller, which has taken the request out of its own share. */
     private suspend fun carry(message: PeerMessage.Carry): PeerMessage {
-        if (!contact.sound) return NOT_CARRIED
+        if (!contact.isAnswering) return NOT_CARRIED
         val reply = links.state.call(message.method, message.target, message.body, message.timeoutMs.toLong())
         return if (reply is Reply.Answer) PeerMessage.Carried(reply.status, reply.body) else NOT_CARRIED
     }
@@ -243,7 +245,8 @@
      * Neither the state service nor any other controller answers this node: its users are better off elsewhere. When
      * others answer but have lost the service too, all are in the same position and leaving would help nobody.
      */
-    private fun isolated(): Boolean = contact.lost.value && relays.alone && nowMs() - contact.goodMs > ISOLATED_MS
+    private fun isolated(): Boolean =
+        contact.unreachable.value && relays.noPeerAnswers && nowMs() - contact.lastAnswerMs > ISOLATED_MS
 
     /** What load spread sees of this controller. */
     private inner class LoadSpreadSurroundings : LoadSpreadHost {
@@ -251,7 +254,7 @@
         override val views get() = this@Controller.views
         override val teams get() = facts.teams
         override val liveJobs get() = jobs.live.values
-        override val hasState get() = contact.sound
+        override val hasState get() = contact.isAnswering
         override fun mayActFor(partition: Partition) = ownership.token(partition.zone) == partition.fencingToken
         override fun isOwned(zone: String) = ownership.leaderOf(zone) != null
         override fun offers(zone: String, spec: JobSpec) = catalog.offers(zone, spec)
--- a/src/main/kotlin/io/otterknot/controller/JobFinalizer.kt
+++ b/src/main/kotlin/io/otterknot/controller/JobFinalizer.kt
@@ -42,7 +42,8 @@
     /** A job that has further keys to remove is in a batch of its own. */
     private fun batches(ended: List<Job>): List<List<Job>> {
         val (large, small) = ended.partition { (it.record?.awaitKeys ?: 0) > 0 }
-        return small.chunked(minOf(budget.most, limits.txnOps, MAX_BATCH)) + large.map(::listOf)
+        return small.chunked(minOf(budget.maxBackgroundChanges, limits.maxTransactionChanges, MAX_BATCH)) +
+            large.map(::listOf)
     }
 
     /**
@@ -53,9 +54,9 @@
         val owner = ownership.leadershipCondition(homeZone) ?: return true
         val ends = chosen.filter(::isDue).mapNotNull { JobTransitions.finish(it, wallMs(), limits) }
         if (ends.isEmpty()) return true
-        val change = ends.reduce(CompareAndSwap::plus).onlyWhile(owner)
+        val change = ends.reduce(CompareAndSwap::plus).withCondition(owner)
         budget.acquireSpare(change.size)
-        return when (val outcome = client.txn(change)) {
+        return when (val outcome = client.transact(change)) {
             is TransactionOutcome.Applied -> {
                 log.debug("done or cancelled: {}", change.changes.map { it.key })
                 replica.awaitRevision(outcome.revision, REACH_MS)
@@ -65,7 +66,7 @@
             is TransactionOutcome.Conflict -> replica.awaitRevision(outcome.revision, REACH_MS)
 
             is TransactionOutcome.Refused -> {
-                if (outcome.tooLarge) limits.refused(change.changes)
+                if (outcome.isTooLarge) limits.reduceAfterRefusal(change.changes)
                 false
             }
 
--- a/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
+++ b/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
@@ -23,14 +23,14 @@
 
     suspend fun record(offered: List<MachineType>) {
         replica.awaitLoaded()
-        val stored = replica.snapshot(StoreKeys.TYPES)
+        val stored = replica.snapshot(StoreKeys.MACHINE_TYPES)
         val known = stored.value?.let { decodeRecord(MachineTypes.serializer(), it).types }.orEmpty()
         if (withoutPrices(known) == withoutPrices(offered)) return
         val change = CompareAndSwap.put(stored, encodeRecord(MachineTypes.serializer(), MachineTypes(offered)))
         if (!limits.fits(change)) return
         budget.acquire(1)
         // One of the nodes that try succeeds; whatever else comes of it, the next answer of the cloud tries again.
-        val outcome = client.txn(change)
+        val outcome = client.transact(change)
         log.debug("machine types written: {}", outcome)
     }
 
--- a/src/main/kotlin/io/otterknot/controller/PartitionStateWriter.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionStateWriter.kt
@@ -40,7 +40,7 @@
     suspend fun run() {
         while (true) {
             delay(PAUSE_MS)
-            if (!replica.loaded) continue
+            if (!replica.isLoaded) continue
             for (partition in partitions.values.toList()) {
                 val guard = ownership.leadershipCondition(partition.zone) ?: continue
                 if (guard.version != partition.fencingToken) continue
@@ -56,7 +56,7 @@
 
     /** Removes the mark that an earlier owner may still act, once it surely does not. */
     private fun overrideEnd(partition: Partition): PendingWrite? {
-        val key = StoreKeys.override(partition.zone)
+        val key = StoreKeys.takeoverMarker(partition.zone)
         if (replica[key] == null || nowMs() <= partition.priorLeaderUntilMs) return null
         return PendingWrite(key, null)
     }
@@ -69,11 +69,11 @@
             stored,
             partition.releasedMachines,
             added,
-            limits.recordBytes / MACHINE_BYTES,
+            limits.maxRecordBytes / MACHINE_BYTES,
         )
         val earlier = LinkedHashSet<String>()
         return changed.map { (segment, types) ->
-            val key = StoreKeys.machines(partition.zone, segment)
+            val key = StoreKeys.machineSegment(partition.zone, segment)
             val value = if (types.isEmpty()) {
                 null
             } else {
@@ -94,7 +94,7 @@
     private fun mean(partition: Partition): PendingWrite? {
         val now = nowMs()
         if (now - (meanSentMs[partition.zone] ?: Long.MIN_VALUE / 2) < MEAN_EVERY_MS) return null
-        val key = StoreKeys.mean(partition.zone)
+        val key = StoreKeys.partitionLoad(partition.zone)
         val needs = limitedTeams.associateWith { partition.quotaNeed(it) }.filterValues { it.cores > 0 || it.cards > 0 }
         val current = PartitionLoadRecord(
             mean = round(partition.load.mean()),
--- a/src/main/kotlin/io/otterknot/controller/RegisteredMachines.kt
+++ b/src/main/kotlin/io/otterknot/controller/RegisteredMachines.kt
@@ -1,5 +1,8 @@
 package io.otterknot.controller
 
+import io.otterknot.records.MachineSegmentRecord
+import io.otterknot.records.StoreKeys
+import io.otterknot.records.decodeRecord
 import io.otterknot.store.StoreReplica
 
 /** The machines that may hold tasks of each partition, with their types, as the replica has them. */
@@ -18,3 +21,9 @@
         byZone.remove(zone)
     }
 }
+
+/** The machines that may run tasks of [zone] and their types, by segment number. */
+internal fun StoreReplica.machineSegments(zone: String): Map<Int, Map<String, String>> =
+    entriesUnder(StoreKeys.machineSegments(zone)).associate { (key, entry) ->
+        key.substringAfterLast('/').toInt() to decodeRecord(MachineSegmentRecord.serializer(), entry.value).types
+    }
--- a/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
+++ b/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
@@ -28,9 +28,9 @@
         when {
             key.startsWith(StoreKeys.JOBS) -> updateJobs(jobs.applyJobChange(key, entry))
 
-            key.startsWith(StoreKeys.AWAITS) -> updateJobs(jobs.applyDependencySegment(key, entry))
+            key.startsWith(StoreKeys.DEPENDENCIES) -> updateJobs(jobs.applyDependencySegment(key, entry))
 
-            key.startsWith(StoreKeys.DONE) -> updateCompletions(jobs.applyCompletionSegment(key, entry))
+            key.startsWith(StoreKeys.COMPLETIONS) -> updateCompletions(jobs.applyCompletionSegment(key, entry))
 
             key.startsWith(
                 StoreKeys.MACHINES,
@@ -39,14 +39,14 @@
             key.startsWith(StoreKeys.PARTITIONS) ->
                 ownership.leaderRecordChanged(key.removePrefix(StoreKeys.PARTITIONS), entry?.version)
 
-            key.startsWith(StoreKeys.OVERRIDES) ->
-                ownership.takeoverMarkers.changed(key.removePrefix(StoreKeys.OVERRIDES), present = entry != null)
+            key.startsWith(StoreKeys.TAKEOVERS) ->
+                ownership.takeoverMarkers.changed(key.removePrefix(StoreKeys.TAKEOVERS), present = entry != null)
 
-            key == StoreKeys.TYPES -> typesChanged(entry)
+            key == StoreKeys.MACHINE_TYPES -> typesChanged(entry)
 
-            key.startsWith(StoreKeys.ALLOTMENTS) -> allotments.changed(key.removePrefix(StoreKeys.ALLOTMENTS))
+            key.startsWith(StoreKeys.QUOTA_SHARES) -> allotments.changed(key.removePrefix(StoreKeys.QUOTA_SHARES))
 
-            key.startsWith(StoreKeys.MEANS) -> meanChanged(key.removePrefix(StoreKeys.MEANS), entry)
+            key.startsWith(StoreKeys.PARTITION_LOADS) -> meanChanged(key.removePrefix(StoreKeys.PARTITION_LOADS), entry)
         }
     }
 
--- a/src/main/kotlin/io/otterknot/jobs/JobTable.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTable.kt
@@ -79,7 +79,7 @@
     /** Takes a key with jobs that some job awaits. */
     fun applyDependencySegment(key: String, entry: ReplicaEntry?): List<Job> {
         if (entry == null) return emptyList()
-        val path = key.substring(StoreKeys.AWAITS.length)
+        val path = key.substring(StoreKeys.DEPENDENCIES.length)
         return pipelines.addAwaitedJobs(
             known(path.substringBefore('/')),
             path.substringAfter('/').toInt(),
--- a/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
@@ -28,14 +28,17 @@
         val key = StoreKeys.job(spec.id)
         val whole = create(key, encode(record))
         if (limits.fits(whole)) return whole
-        val pieces = pieces(spec.dependencies ?: return null, limits.valueBytes)
+        val pieces = pieces(spec.dependencies ?: return null, limits.maxValueBytes)
         val main = create(key, encode(record.copy(spec = spec.copy(dependencies = null), awaitKeys = pieces.size)))
         val lists = pieces.mapIndexed { number, piece ->
-            create(StoreKeys.awaits(spec.id, number), encodeRecord(DependencySegmentRecord.serializer(), piece))
+            create(
+                StoreKeys.dependencySegment(spec.id, number),
+                encodeRecord(DependencySegmentRecord.serializer(), piece),
+            )
         }
         val all = lists.reduce(CompareAndSwap::plus) + main
         val bytes = all.changes.sumOf { it.key.length + it.valueBytes }
-        val fits = limits.fits(main) && all.size <= limits.txnOps && bytes <= limits.txnBytes
+        val fits = limits.fits(main) && all.size <= limits.maxTransactionChanges && bytes <= limits.maxTransactionBytes
         return all.takeIf { fits }
     }
 
@@ -68,8 +71,12 @@
         val before = job.stored ?: return null
         val record = before.value ?: return null
         val ended = JobRecord(final = final, tasks = record.spec?.tasks ?: record.tasks, endedMs = wallMs)
-        val lists = minOf(record.awaitKeys ?: 0, limits.txnOps - 1)
-        return CompareAndSwap.put(before, encode(ended)).andRemove(List(lists) { StoreKeys.awaits(job.id, it) })
+        val lists = minOf(record.awaitKeys ?: 0, limits.maxTransactionChanges - 1)
+        return CompareAndSwap.put(before, encode(ended)).alsoRemove(
+            List(lists) {
+                StoreKeys.dependencySegment(job.id, it)
+            },
+        )
     }
 
     private fun create(key: String, value: JsonElement) = CompareAndSwap.put(Snapshot.absent(key), value)
--- a/src/main/kotlin/io/otterknot/leadership/FencedTransactions.kt
+++ b/src/main/kotlin/io/otterknot/leadership/FencedTransactions.kt
@@ -32,21 +32,21 @@
      */
     suspend fun settle(partition: Partition, change: CompareAndSwap): Settled {
         val owner = VersionCondition(StoreKeys.partition(partition.zone), partition.fencingToken)
-        val owned = change.onlyWhile(owner)
+        val owned = change.withCondition(owner)
         var unanswered = false
         while (partitions[partition.zone] === partition) {
-            client.budget.acquireSpare(1, lesser = true)
-            when (val outcome = client.txn(owned)) {
+            client.rateLimiter.acquireSpare(1, lowPriority = true)
+            when (val outcome = client.transact(owned)) {
                 is TransactionOutcome.Applied -> return shown(outcome.revision, partition, Settled.APPLIED)
 
                 is TransactionOutcome.Conflict -> {
-                    if (owner.key in outcome.failed) ownership.leadershipLost(partition.zone)
+                    if (owner.key in outcome.failedKeys) ownership.leadershipLost(partition.zone)
                     return shown(outcome.revision, partition, Settled.NOT_APPLIED)
                 }
 
                 is TransactionOutcome.Refused -> {
-                    if (outcome.tooLarge) {
-                        limits.refused(change.changes)
+                    if (outcome.isTooLarge) {
+                        limits.reduceAfterRefusal(change.changes)
                         if (!unanswered) return Settled.NOT_APPLIED
                         ownership.leadershipLost(partition.zone)
                     }
--- a/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
+++ b/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
@@ -112,11 +112,11 @@
             return lease != null
         }
         return when (client.renewLease(held)) {
-            LeaseRenewal.Renewed -> true
+            LeaseRenewal.RENEWED -> true
 
-            LeaseRenewal.Failed -> false
+            LeaseRenewal.FAILED -> false
 
-            LeaseRenewal.Gone -> {
+            LeaseRenewal.EXPIRED -> {
                 leaseEnded()
                 false
             }
@@ -146,10 +146,10 @@
      */
     private suspend fun confirm(): Long? {
         val asked = tokens.toMap()
-        if (asked.isEmpty()) return client.revisionAtOnce()
-        client.budget.acquireWithoutWaiting()
+        if (asked.isEmpty()) return client.revisionWithoutWaiting()
+        client.rateLimiter.acquireWithoutWaiting()
         return when (
-            val outcome = client.compare(
+            val outcome = client.checkConditions(
                 asked.map { (zone, token) ->
                     VersionCondition(StoreKeys.partition(zone), token)
                 },
@@ -159,7 +159,7 @@
 
             is TransactionOutcome.Conflict -> {
                 for ((zone, token) in asked) {
-                    val isLost = StoreKeys.partition(zone) in outcome.failed
+                    val isLost = StoreKeys.partition(zone) in outcome.failedKeys
                     if (isLost && tokens[zone] == token) leadershipLost(zone)
                 }
                 null
@@ -190,9 +190,9 @@
         log.info("giving {} up to a node with less to do", zone)
         tokens.remove(zone)
         onLoss(zone)
-        client.budget.acquire(1)
+        client.rateLimiter.acquire(1)
         // If this is lost, the key still shows this node's label, and this node claims the partition again.
-        client.txn(CompareAndSwap.remove(Snapshot(StoreKeys.partition(zone), zone, fencingToken)))
+        client.transact(CompareAndSwap.remove(Snapshot(StoreKeys.partition(zone), zone, fencingToken)))
         yieldedMs[zone] = nowMs()
     }
 
@@ -219,7 +219,7 @@
     suspend fun acquirePartitions() {
         while (true) {
             val held = lease
-            if (held != null && replica.loaded && fence.holds(nowMs()) && mayClaim()) {
+            if (held != null && replica.isLoaded && fence.holds(nowMs()) && mayClaim()) {
                 for (zone in zones) considerClaim(zone, held)
             }
             delay(CLAIM_EVERY_MS)
@@ -272,9 +272,9 @@
     private suspend fun claim(zone: String, before: Snapshot<LeaderRecord>, held: Long, overriding: Boolean) {
         val record = encodeRecord(LeaderRecord.serializer(), LeaderRecord(label, incarnation))
         val plain = CompareAndSwap.put(before, record, lease = held)
-        val claim = if (overriding) plain.andPut(StoreKeys.override(zone), JsonPrimitive(incarnation)) else plain
-        client.budget.acquire(claim.size)
-        when (val outcome = client.txn(claim)) {
+        val claim = if (overriding) plain.alsoPut(StoreKeys.takeoverMarker(zone), JsonPrimitive(incarnation)) else plain
+        client.rateLimiter.acquire(claim.size)
+        when (val outcome = client.transact(claim)) {
             is TransactionOutcome.Applied -> {
                 tokens[zone] = outcome.revision
                 unownedSince.remove(zone)
@@ -287,7 +287,7 @@
             is TransactionOutcome.Refused -> if (outcome.status == 400) leaseEnded()
 
             // If it is carried out after all, the key shows this label and is claimed once more under a new token.
-            is TransactionOutcome.Unknown -> log.info("claim of {} without an answer: {}", zone, outcome.why)
+            is TransactionOutcome.Unknown -> log.info("claim of {} without an answer: {}", zone, outcome.reason)
         }
     }
 
--- a/src/main/kotlin/io/otterknot/metrics/Metrics.kt
+++ b/src/main/kotlin/io/otterknot/metrics/Metrics.kt
@@ -4,43 +4,60 @@
 import org.agrona.collections.Object2LongCounterMap
 import org.slf4j.LoggerFactory
 
-/** What this node has asked of the state service and how long things took, told once a minute. */
+/**
+ * Counters and latency histograms of this controller, logged and reset once a minute. Confined to the controller's
+ * event loop.
+ */
 class Metrics(private val nowMs: () -> Long) {
     private val log = LoggerFactory.getLogger(Metrics::class.java)
-    private val counts = Object2LongCounterMap<String>(0L)
-    private val times = HashMap<String, Histogram>()
-    private var sinceMs = nowMs()
+    private val counters = Object2LongCounterMap<String>(0L)
+    private val durations = HashMap<String, Histogram>()
+    private var intervalStartMs = nowMs()
 
-    fun count(what: String, number: Int = 1) {
-        counts.getAndAdd(what, number.toLong())
+    /** Adds [increment] to the counter [name]. */
+    fun count(name: String, increment: Int = 1) {
+        counters.getAndAdd(name, increment.toLong())
     }
 
-    fun recordDuration(what: String, ms: Long) {
-        times.getOrPut(what) { Histogram(LONGEST_MS, DIGITS) }.recordValue(ms.coerceIn(0, LONGEST_MS))
+    /** Records [durationMs] under [name]; what is beyond [MAX_DURATION_MS] counts as that. */
+    fun recordDuration(name: String, durationMs: Long) {
+        durations.getOrPut(name) { Histogram(MAX_DURATION_MS, SIGNIFICANT_DIGITS) }
+            .recordValue(durationMs.coerceIn(0, MAX_DURATION_MS))
     }
 
+    /** Logs and resets everything if [LOG_INTERVAL_MS] have passed since the last time. */
     fun logPeriodically() {
-        if (nowMs() - sinceMs < EVERY_MS) return
-        log.info("in {} s: {}; ms (half, 99%): {}", (nowMs() - sinceMs) / 1000, countsText(), timesText())
-        sinceMs = nowMs()
-        counts.clear()
-        times.values.forEach { it.reset() }
+        val intervalMs = nowMs() - intervalStartMs
+        if (intervalMs < LOG_INTERVAL_MS) return
+        log.info(
+            "metrics interval_s={} counts: {}; duration_ms (p50, p99): {}",
+            intervalMs / MS_PER_S,
+            formatCounts(),
+            formatDurations(),
+        )
+        intervalStartMs = nowMs()
+        counters.clear()
+        durations.values.forEach { it.reset() }
     }
 
-    fun countsText(): String {
-        val partitions = sortedMapOf<String, Long>()
-        counts.forEach { what, number -> partitions[what] = number }
-        return partitions.entries.joinToString { "${it.key} ${it.value}" }
+    fun formatCounts(): String {
+        val sorted = sortedMapOf<String, Long>()
+        counters.forEach { name, count -> sorted[name] = count }
+        return sorted.entries.joinToString { "${it.key} ${it.value}" }
     }
 
-    fun timesText(): String = times.entries.sortedBy { it.key }.filter { it.value.totalCount > 0 }
-        .joinToString { (what, taken) ->
-            "$what ${taken.getValueAtPercentile(50.0)}, ${taken.getValueAtPercentile(99.0)}"
+    /** By name the median and the 99th percentile in milliseconds. */
+    fun formatDurations(): String = durations.entries.sortedBy { it.key }.filter { it.value.totalCount > 0 }
+        .joinToString { (name, histogram) ->
+            "$name ${histogram.getValueAtPercentile(MEDIAN)}, ${histogram.getValueAtPercentile(HIGH_PERCENTILE)}"
         }
 
     private companion object {
-        const val EVERY_MS = 60_000L
-        const val LONGEST_MS = 600_000L
-        const val DIGITS = 2
+        const val LOG_INTERVAL_MS = 60_000L
+        const val MS_PER_S = 1_000L
+        const val MAX_DURATION_MS = 600_000L
+        const val SIGNIFICANT_DIGITS = 2
+        const val MEDIAN = 50.0
+        const val HIGH_PERCENTILE = 99.0
     }
 }
--- a/src/main/kotlin/io/otterknot/peer/PeerLink.kt
+++ b/src/main/kotlin/io/otterknot/peer/PeerLink.kt
@@ -77,9 +77,10 @@
 
 /** Another controller as a way to the state service. */
 class PeerRelay(private val peer: PeerTransport) : Relay {
-    override suspend fun sound(): Boolean? = (peer.ask(PeerMessage.Ask, PEER_ANSWER_MS) as? PeerMessage.Known)?.sound
+    override suspend fun reachesStore(): Boolean? =
+        (peer.ask(PeerMessage.Ask, PEER_ANSWER_MS) as? PeerMessage.Known)?.sound
 
-    override suspend fun carry(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
+    override suspend fun relay(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
         val answer = peer.ask(
             PeerMessage.Carry(method, target, body, timeoutMs.toInt()),
             timeoutMs + PEER_ANSWER_MS,
--- a/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
+++ b/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
@@ -41,7 +41,7 @@
     fun of(team: String): QuotaSharesRecord = snapshot(team).value ?: even(team)
 
     private fun snapshot(team: String): Snapshot<QuotaSharesRecord> =
-        replica.snapshot(StoreKeys.allotment(team)).map { decodeRecord(QuotaSharesRecord.serializer(), it) }
+        replica.snapshot(StoreKeys.quotaShares(team)).map { decodeRecord(QuotaSharesRecord.serializer(), it) }
 
     /** What holds until something has been given. */
     private fun even(team: String): QuotaSharesRecord =
--- a/src/main/kotlin/io/otterknot/ratelimit/RateLimiter.kt
+++ b/src/main/kotlin/io/otterknot/ratelimit/RateLimiter.kt
@@ -1,186 +1,161 @@
 package io.otterknot.ratelimit
 
+import io.otterknot.time.NEVER_MS
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.sync.Mutex
 import kotlinx.coroutines.sync.withLock
+import org.slf4j.Logger
 import org.slf4j.LoggerFactory
 
 /**
- * This node's share of a service's limits, as two buckets of one second's worth. The [share] of each may change as
- * partitions come and go; the shares of all nodes never pass the whole.
+ * This controller's share of a service's limits: one token bucket for requests, one for changes. The [share] of each
+ * may change as partitions come and go; the shares of all controllers together never exceed the limits.
  *
- * Requests that a user waits for go first: they take their place at once and wait for their turn, for no longer than
- * they say. Background tasks wait until there is something for them and leave no debt behind, so that users never queue
- * behind a long batch; and what only reads never waits for changes.
+ * - [acquire] and [tryAcquire] are for requests that a user or a watch waits for: they take their tokens at once, going
+ *   into debt, and wait for their turn. [tryAcquire] is for submissions and cancellations, which are refused instead
+ *   of waiting long.
+ * - [acquireSpare] is for background tasks: it waits until the tokens are there and leaves no debt, so that users never
+ *   queue behind a long batch.
+ * - [acquireWithoutWaiting] is for lease renewals and what they depend on.
+ *
+ * Reading never waits for the bucket of changes. Confined to the controller's event loop.
  */
 class RateLimiter(
     requestsPerS: Double,
     changesPerS: Double,
     private val nowMs: () -> Long,
-    private val share: () -> Share = { Share.WHOLE },
-    /** What the limits will be lowered to some day, without notice: the first refusals tell that they have been. */
-    private val later: Limits? = null,
+    private val share: () -> RateLimitShare = { RateLimitShare.WHOLE },
+    /** What the limits will be lowered to some day, without notice: repeated refusals tell that they have been. */
+    private val loweredLimits: RateLimits? = null,
 ) {
-    class Limits(val requestsPerS: Double, val changesPerS: Double)
+    private val requests = TokenBucket(requestsPerS, nowMs())
+    private val changes = TokenBucket(changesPerS, nowMs())
+    private val backoff = RefusalBackoff()
+    private val backgroundTasks = Mutex()
+    private val lowPriorityTasks = Mutex()
+    private var lastRefusalMs = NEVER_MS
+    private var isLowered = false
+    private var loweredMs = NEVER_MS
+
+    /** Half of a burst of requests is left: there is no need to save any. */
+    val hasAmpleRequests: Boolean
+        get() {
+            refill()
+            return requests.isHalfFull
+        }
 
-    class Share(val requests: Double, val changes: Double) {
-        companion object {
-            val WHOLE = Share(1.0, 1.0)
+    /** How many changes a background task may make in one transaction without waiting for more than a burst. */
+    val maxBackgroundChanges: Int
+        get() {
+            refill()
+            return maxOf(1, changes.capacity.toInt())
         }
-    }
 
-    private class Bucket(var wholePerS: Double, var filledAt: Long) {
-        var perS = wholePerS
-        var level = Double.MAX_VALUE
-        val size: Double get() = maxOf(perS * BURST, 1.0)
+    /** Takes the tokens of a request with [changeCount] changes and waits for its turn, however long that takes. */
+    suspend fun acquire(changeCount: Int = 0) {
+        refill()
+        take(changeCount)
+        val waitMs = waitMs(changeCount)
+        if (waitMs > 0) delay(waitMs)
+    }
 
-        fun fill(now: Long, share: Double) {
-            perS = wholePerS * share
-            level = minOf(size, level + (now - filledAt) * perS / 1000.0)
-            filledAt = now
+    /** Like [acquire] if the wait is at most [maxWaitMs]; otherwise takes nothing and returns false at once. */
+    suspend fun tryAcquire(changeCount: Int, maxWaitMs: Long): Boolean {
+        refill()
+        take(changeCount)
+        val waitMs = waitMs(changeCount)
+        if (waitMs > maxWaitMs) {
+            take(-changeCount, requestCount = -1)
+            return false
         }
+        if (waitMs > 0) delay(waitMs)
+        return true
+    }
 
-        fun waitMs(wanted: Double = 0.0): Long {
-            if (level >= wanted) return 0
-            return ((wanted - level) * 1000.0 / perS).toLong() + 1
+    /**
+     * Waits until [changeCount] changes can be made and some of the burst is left for users; a [lowPriority] task
+     * leaves more. Background tasks are served one after the other, those of low priority in a line of their own.
+     */
+    suspend fun acquireSpare(changeCount: Int, lowPriority: Boolean = false) {
+        val turn = if (lowPriority) lowPriorityTasks else backgroundTasks
+        turn.withLock {
+            while (true) {
+                refill()
+                val waitMs = spareWaitMs(changeCount, if (lowPriority) LOW_PRIORITY_RESERVE else BACKGROUND_RESERVE)
+                if (waitMs == 0L) break
+                delay(waitMs)
+            }
+            take(changeCount)
         }
     }
 
-    private val requests = Bucket(requestsPerS, nowMs())
-    private val changes = Bucket(changesPerS, nowMs())
-    private val backgroundTasks = Mutex()
-    private val lowPriorityTasks = Mutex()
-
-    private fun fill() {
-        val now = nowMs()
-        val share = share()
-        val throttle = throttle.at(now)
-        requests.fill(now, share.requests * throttle)
-        changes.fill(now, share.changes * throttle)
+    /** Takes the token of one request, but never waits: losing a lease costs more than a refused request. */
+    fun acquireWithoutWaiting() {
+        refill()
+        requests.take(1)
     }
 
-    private val throttle = Throttle()
-    private var refusedMs = Long.MIN_VALUE / 2
-    private var lowered = false
-    private var loweredMs = Long.MIN_VALUE / 2
-
     /**
-     * The service has refused a request for its rate. Once may be another node's doing; when it happens again soon, the
-     * lower limits hold for good, and if they are not it, the node uses less of them for a while.
+     * The service has refused a request for its rate. Once may be another controller's doing; when it happens again
+     * within [REFUSAL_WINDOW_MS], the lowered limits hold for good, and if they do not explain it, this controller uses
+     * less of them for a while.
      */
-    fun refused() {
+    fun onRateRefused() {
         val now = nowMs()
-        val again = now - refusedMs < REFUSALS_MS
-        refusedMs = now
-        if (!again) return
-        if (later == null || lowered) {
-            // Other nodes may not have noticed the lower limits yet.
-            if (now - loweredMs >= REFUSALS_MS) throttle.refused(now)
-            return
+        val isRepeated = now - lastRefusalMs < REFUSAL_WINDOW_MS
+        lastRefusalMs = now
+        if (!isRepeated) return
+        if (loweredLimits != null && !isLowered) {
+            lowerLimits(loweredLimits, now)
+        } else if (now - loweredMs >= REFUSAL_WINDOW_MS) {
+            // Right after the lowering, other controllers may not have noticed the lowered limits yet.
+            backoff.decrease(now)
         }
-        lowered = true
+    }
+
+    private fun lowerLimits(limits: RateLimits, now: Long) {
+        isLowered = true
         loweredMs = now
-        requests.wholePerS = later.requestsPerS
-        changes.wholePerS = later.changesPerS
+        requests.limitPerS = limits.requestsPerS
+        changes.limitPerS = limits.changesPerS
         log.info(
-            "requests are refused for their rate: from now on {} requests and {} changes a second",
-            later.requestsPerS,
-            later.changesPerS,
+            "rate limits lowered after repeated refusals requests_per_s={} changes_per_s={}",
+            limits.requestsPerS,
+            limits.changesPerS,
         )
     }
 
-    /** The share of the known limits that is used: less with each refusal that they do not explain, more with time. */
-    private class Throttle {
-        private var share = 1.0
-        private var changedMs = Long.MIN_VALUE / 2
-
-        fun refused(now: Long) {
-            if (now - changedMs < DECREASE_EVERY_MS) return
-            share = maxOf(LEAST, at(now) * DECREASE)
-            changedMs = now
-        }
-
-        fun at(now: Long): Double = minOf(1.0, share + maxOf(0L, now - changedMs - RECOVER_AFTER_MS) * RECOVER_PER_MS)
-
-        private companion object {
-            const val LEAST = 0.2
-            const val DECREASE = 0.8
-            const val DECREASE_EVERY_MS = 2_000L
-            const val RECOVER_AFTER_MS = 10_000L
-
-            /** A tenth in ten seconds. */
-            const val RECOVER_PER_MS = 1e-5
-        }
+    private fun refill() {
+        val now = nowMs()
+        val share = share()
+        val usedShare = backoff.shareAt(now)
+        requests.refill(now, share.requests * usedShare)
+        changes.refill(now, share.changes * usedShare)
     }
 
-    private fun use(changeCount: Int, requestCount: Int = 1) {
-        requests.level -= requestCount
-        changes.level -= changeCount
+    private fun take(changeCount: Int, requestCount: Int = 1) {
+        requests.take(requestCount)
+        changes.take(changeCount)
     }
 
     private fun waitMs(changeCount: Int): Long = maxOf(requests.waitMs(), if (changeCount > 0) changes.waitMs() else 0)
 
-    /** For what somebody waits for and what is bounded in number. */
-    suspend fun acquire(changeCount: Int = 0) {
-        fill()
-        use(changeCount)
-        val wait = waitMs(changeCount)
-        if (wait > 0) delay(wait)
-    }
-
-    /** Takes a place only if the wait is at most [maxWaitMs]; false: nothing was taken. */
-    suspend fun tryAcquire(changeCount: Int, maxWaitMs: Long): Boolean {
-        fill()
-        use(changeCount)
-        val wait = waitMs(changeCount)
-        if (wait > maxWaitMs) {
-            use(-changeCount, requestCount = -1)
-            return false
-        }
-        if (wait > 0) delay(wait)
-        return true
-    }
-
-    /**
-     * For background tasks: waits until so many changes are there and some are left for users, more of them for [lesser] tasks.
-     */
-    suspend fun acquireSpare(changeCount: Int, lesser: Boolean = false) =
-        (if (lesser) lowPriorityTasks else backgroundTasks).withLock {
-            while (true) {
-                fill()
-                val reserve = changes.size * (if (lesser) LESSER_RESERVE else RESERVE)
-                val wait = maxOf(requests.waitMs(1.0), changes.waitMs(minOf(changeCount + reserve, changes.size)))
-                if (wait == 0L) break
-                delay(wait)
-            }
-            use(changeCount)
-        }
-
-    /** Half of a burst is left: there is no need to save requests. */
-    val requestsAmple: Boolean get() {
-        fill()
-        return requests.level >= requests.size / 2
+    private fun spareWaitMs(changeCount: Int, reserve: Double): Long {
+        val capacity = changes.capacity
+        val wantedChanges = minOf(changeCount + capacity * reserve, capacity)
+        return maxOf(requests.waitMs(1.0), changes.waitMs(wantedChanges))
     }
 
-    /** How many changes a background task may make at once without waiting for more than a second's worth. */
-    val most: Int get() {
-        fill()
-        return maxOf(1, changes.size.toInt())
-    }
+    private companion object {
+        val log: Logger = LoggerFactory.getLogger(RateLimiter::class.java)
 
-    /** Lease renewals never wait: losing a lease costs more than a refused request. */
-    fun acquireWithoutWaiting() {
-        fill()
-        requests.level -= 1
-    }
+        /** Refusals closer together than this are not by chance. */
+        const val REFUSAL_WINDOW_MS = 10_000L
 
-    private companion object {
-        val log: org.slf4j.Logger = LoggerFactory.getLogger(RateLimiter::class.java)
-        const val REFUSALS_MS = 10_000L
-        const val BURST = 0.9
+        /** The share of a burst of changes that background tasks leave to users. */
+        const val BACKGROUND_RESERVE = 0.25
 
-        /** The share of the changes that background tasks leave to users, and the less urgent ones to the others too. */
-        const val RESERVE = 0.25
-        const val LESSER_RESERVE = 0.4
+        /** The share that low-priority tasks leave to users and to the other background tasks. */
+        const val LOW_PRIORITY_RESERVE = 0.4
     }
 }
--- a/src/main/kotlin/io/otterknot/records/Records.kt
+++ b/src/main/kotlin/io/otterknot/records/Records.kt
@@ -35,7 +35,7 @@
     @SerialName("x") val final: TerminalState? = null,
     @SerialName("c") val tasks: Int = 0,
     /**
-     * In how many keys of their own ([StoreKeys.awaits]) the jobs that this one awaits stand; null: they stand in [spec].
+     * In how many keys of their own ([StoreKeys.dependencySegment]) the jobs that this one awaits stand; null: they stand in [spec].
      */
     @SerialName("w") val awaitKeys: Int? = null,
     /** When it became final, by the time of day of the controller that wrote so. */
--- a/src/main/kotlin/io/otterknot/records/StoreKeys.kt
+++ b/src/main/kotlin/io/otterknot/records/StoreKeys.kt
@@ -1,27 +1,55 @@
 package io.otterknot.records
 
-/** The names under which this service keeps its state. */
+/** The keys, in the key-value store, under which the controllers keep their state. They are a format: see docs/design.md. */
 object StoreKeys {
+    /** Prefix of every key. */
     const val ROOT = "o/"
+
+    /** Prefix of the [JobRecord]s. */
     const val JOBS = "o/j/"
-    const val DONE = "o/d/"
+
+    /** Prefix of the [DependencySegmentRecord]s. */
+    const val DEPENDENCIES = "o/w/"
+
+    /** Prefix of the [CompletionSegmentRecord]s. */
+    const val COMPLETIONS = "o/d/"
+
+    /** Prefix of the [LeaderRecord]s; the version of such a key is the partition's fencing token. */
     const val PARTITIONS = "o/p/"
+
+    /** Prefix of the markers of forced takeovers. */
+    const val TAKEOVERS = "o/x/"
+
+    /** Prefix of the [MachineSegmentRecord]s. */
     const val MACHINES = "o/m/"
-    const val MEANS = "o/s/"
-    const val ALLOTMENTS = "o/q/"
-    const val OVERRIDES = "o/x/"
 
-    const val AWAITS = "o/w/"
+    /** Prefix of the [PartitionLoadRecord]s. */
+    const val PARTITION_LOADS = "o/s/"
 
-    const val TYPES = "o/t"
+    /** Prefix of the [QuotaSharesRecord]s. */
+    const val QUOTA_SHARES = "o/q/"
+
+    /** The key of the machine types that the cloud offers. */
+    const val MACHINE_TYPES = "o/t"
 
     fun job(id: String) = JOBS + id
-    fun done(zone: String, segment: String) = "$DONE$zone/$segment"
+
+    fun dependencySegment(job: String, segment: Int) = "$DEPENDENCIES$job/$segment"
+
+    /** [segment]: fencing token of the leader that wrote it and a number; empty: the prefix of all of [zone]. */
+    fun completionSegment(zone: String, segment: String) = "$COMPLETIONS$zone/$segment"
+
     fun partition(zone: String) = PARTITIONS + zone
-    fun machines(zone: String) = "$MACHINES$zone/"
-    fun machines(zone: String, segment: Int) = "$MACHINES$zone/$segment"
-    fun awaits(job: String, number: Int) = "$AWAITS$job/$number"
-    fun override(zone: String) = OVERRIDES + zone
-    fun mean(zone: String) = MEANS + zone
-    fun allotment(team: String) = ALLOTMENTS + team
+
+    /** Present while the leader that was overridden may still act. */
+    fun takeoverMarker(zone: String) = TAKEOVERS + zone
+
+    /** Prefix of the machine segments of [zone]. */
+    fun machineSegments(zone: String) = "$MACHINES$zone/"
+
+    fun machineSegment(zone: String, segment: Int) = "$MACHINES$zone/$segment"
+
+    fun partitionLoad(zone: String) = PARTITION_LOADS + zone
+
+    fun quotaShares(team: String) = QUOTA_SHARES + team
 }
--- a/src/main/kotlin/io/otterknot/store/CompareAndSwap.kt
+++ b/src/main/kotlin/io/otterknot/store/CompareAndSwap.kt
@@ -5,43 +5,36 @@
 import kotlinx.serialization.json.JsonElement
 
 /**
- * What a key held at one moment, with the version of that value; a key that did not exist has no value and version 0.
- * Immutable: what is decided on [value] is guarded by [version], however much later the transaction is sent.
+ * Changes together with the conditions that they rest on. It can only be made from a [Snapshot], so the condition is
+ * never on a newer version than the value that the change was decided on; a transaction that is late, repeated or
+ * overtaken by another writer is then refused by the store.
  */
-class Snapshot<out T : Any>(val key: String, val value: T?, val version: Long) {
-    fun <R : Any> map(decode: (T) -> R): Snapshot<R> = Snapshot(key, value?.let(decode), version)
-
-    companion object {
-        /** The state before a key's first value. */
-        fun absent(key: String): Snapshot<Nothing> = Snapshot(key, null, 0)
-    }
-}
-
-/**
- * Changes together with the guards that they rest on. It can only be made from a [Snapshot], so a change is never
- * guarded by a newer version than the value that it was decided on; a transaction that is late, repeated or overtaken
- * by another writer is then refused by the state service.
- */
-class CompareAndSwap private constructor(val guards: List<VersionCondition>, val changes: List<KeyChange>) {
+class CompareAndSwap private constructor(val conditions: List<VersionCondition>, val changes: List<KeyChange>) {
+    /** The number of changes. */
     val size: Int get() = changes.size
 
-    operator fun plus(other: CompareAndSwap) = CompareAndSwap(guards + other.guards, changes + other.changes)
+    /** Both in one transaction: either everything is carried out or nothing. */
+    operator fun plus(other: CompareAndSwap) = CompareAndSwap(conditions + other.conditions, changes + other.changes)
 
-    /** Removes [keys] as well, whatever they hold: they say nothing any more once this change is carried out. */
-    fun andRemove(keys: List<String>) = CompareAndSwap(guards, changes + keys.map { KeyChange(remove = it) })
+    /** Removes [keys] as well, whatever their values: they mean nothing once this change is carried out. */
+    fun alsoRemove(keys: List<String>) = CompareAndSwap(conditions, changes + keys.map { KeyChange(remove = it) })
 
-    /** Puts [key] as well, whatever it holds: it says something of this change only. */
-    fun andPut(key: String, value: JsonElement) = CompareAndSwap(guards, changes + KeyChange(put = key, value = value))
+    /** Puts [key] as well, whatever its value: it describes this change only. */
+    fun alsoPut(key: String, value: JsonElement) =
+        CompareAndSwap(conditions, changes + KeyChange(put = key, value = value))
 
-    /** Only carried out while [guard] holds, too. */
-    fun onlyWhile(guard: VersionCondition) = CompareAndSwap(guards + guard, changes)
+    /** The same changes, carried out only while [condition] holds, too. */
+    fun withCondition(condition: VersionCondition) = CompareAndSwap(conditions + condition, changes)
 
     companion object {
+        /** Puts [value] if the key is still as [before]; the store removes it when [lease] expires. */
         fun put(before: Snapshot<*>, value: JsonElement, lease: Long? = null) =
-            CompareAndSwap(listOf(before.guard()), listOf(KeyChange(put = before.key, value = value, lease = lease)))
+            CompareAndSwap(listOf(unchanged(before)), listOf(KeyChange(put = before.key, value = value, lease = lease)))
 
-        fun remove(before: Snapshot<*>) = CompareAndSwap(listOf(before.guard()), listOf(KeyChange(remove = before.key)))
+        /** Removes the key if it is still as [before]. */
+        fun remove(before: Snapshot<*>) =
+            CompareAndSwap(listOf(unchanged(before)), listOf(KeyChange(remove = before.key)))
 
-        private fun Snapshot<*>.guard() = VersionCondition(key, version)
+        private fun unchanged(snapshot: Snapshot<*>) = VersionCondition(snapshot.key, snapshot.version)
     }
 }
--- a/src/main/kotlin/io/otterknot/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/io/otterknot/store/KeyValueStoreClient.kt
@@ -1,5 +1,6 @@
 package io.otterknot.store
 
+import io.otterknot.http.HttpStatus
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
 import io.otterknot.metrics.Metrics
@@ -16,168 +17,154 @@
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.SerializationException
 
-/** What came of a transaction. */
-sealed interface TransactionOutcome {
-    data class Applied(val revision: Long) : TransactionOutcome
-    data class Conflict(val failed: List<String>, val revision: Long) : TransactionOutcome
-
-    /** Not carried out, and never will be. */
-    data class Refused(val status: Int) : TransactionOutcome {
-        /** Of a transaction without a lease: a value or the whole is larger than the service takes now. */
-        val tooLarge: Boolean get() = status == 400
-    }
-
-    /** Carried out, or still to be carried out, or not: only reading tells. */
-    data class Unknown(val why: String) : TransactionOutcome
-}
-
-sealed interface LeaseRenewal {
-    data object Renewed : LeaseRenewal
-    data object Gone : LeaseRenewal
-    data object Failed : LeaseRenewal
-}
-
-sealed interface WatchResult {
-    class Events(val events: WatchEvents) : WatchResult
-    data object TooOld : WatchResult
-    class Failed(val why: String) : WatchResult
-}
-
-/** The state service's interface, within this node's share of its limits. */
+/**
+ * The interface of the consensus-backed key-value store (PROTOCOL: `/store`, `/txn`, `/watch`, `/holds`), within this
+ * controller's share of its rate limits. Watches have a transport of their own, since they stay open.
+ */
 class KeyValueStoreClient(
-    private val http: Transport,
-    private val watchHttp: Transport,
-    val budget: RateLimiter,
-    val figures: Metrics,
+    private val transport: Transport,
+    private val watchTransport: Transport,
+    val rateLimiter: RateLimiter,
+    val metrics: Metrics,
 ) {
-
+    /** A page of the keys that begin with [prefix] and come after the key [after]; null: no usable answer. */
     suspend fun list(prefix: String, after: String?): KeyValuePage? {
-        budget.acquire()
-        figures.count("lists")
-        val from = if (after == null) "" else "&After=$after"
-        return decode(KeyValuePage.serializer(), call(http, "GET", "/store?Under=$prefix$from&Page=200", null, LIST_MS))
+        rateLimiter.acquire()
+        metrics.count("lists")
+        val afterParameter = if (after == null) "" else "&After=$after"
+        val target = "/store?Under=$prefix$afterParameter&Page=$PAGE_SIZE"
+        return parseIfOk(KeyValuePage.serializer(), call(transport, "GET", target, null, LIST_TIMEOUT_MS))
     }
 
-    /** The revision that the service has reached, read from an absent key; null if it does not say. */
+    /** The revision that the store has reached, read from an absent key; null: no usable answer. */
     suspend fun revision(): Long? {
-        budget.acquire()
+        rateLimiter.acquire()
         return readRevision()
     }
 
-    /** The same for the lease's sake, which waits for nobody's turn. */
-    suspend fun revisionAtOnce(): Long? {
-        budget.acquireWithoutWaiting()
+    /** Like [revision], for the sake of the lease, which never waits for the rate limit. */
+    suspend fun revisionWithoutWaiting(): Long? {
+        rateLimiter.acquireWithoutWaiting()
         return readRevision()
     }
 
-    private suspend fun readRevision(): Long? {
-        figures.count("barrier reads")
-        val reply = call(http, "GET", "/store/o/none", null, READ_MS)
-        if (reply !is Reply.Answer || reply.status != 404) return null
-        return parse(RevisionResponse.serializer(), reply)?.revision
-    }
+    /** Carries [change] out if all its conditions hold. The caller has acquired its place from [rateLimiter]. */
+    suspend fun transact(change: CompareAndSwap): TransactionOutcome = send(change.conditions, change.changes)
 
-    /** Carries [change] out if all its guards hold. The caller has taken its place in [budget]. */
-    suspend fun txn(change: CompareAndSwap): TransactionOutcome = send(change.guards, change.changes)
+    /**
+     * Whether all of [conditions] hold at some moment after the call. The caller has acquired its place from
+     * [rateLimiter].
+     */
+    suspend fun checkConditions(conditions: List<VersionCondition>): TransactionOutcome = send(conditions, emptyList())
 
-    /** Whether all of [guards] hold at some moment after the call. The caller has taken its place in [budget]. */
-    suspend fun compare(guards: List<VersionCondition>): TransactionOutcome = send(guards, emptyList())
+    /** A new lease of [ttlMs]; null: no usable answer. */
+    suspend fun grantLease(ttlMs: Long): Long? {
+        rateLimiter.acquireWithoutWaiting()
+        val body = encode(LeaseRequest.serializer(), LeaseRequest(ttlMs))
+        return parseIfOk(LeaseGrant.serializer(), call(transport, "POST", "/holds", body, GRANT_TIMEOUT_MS))?.lease
+    }
 
-    private suspend fun send(guards: List<VersionCondition>, changes: List<KeyChange>): TransactionOutcome {
-        figures.count("transactions")
-        figures.count("changes", changes.size)
-        val body = WireJson.encodeToString(
-            TransactionRequest.serializer(),
-            TransactionRequest(guards, changes),
-        ).encodeToByteArray()
-        return when (val reply = call(http, "POST", "/txn", body, TXN_MS)) {
-            is Reply.None -> TransactionOutcome.Unknown(reply.why)
+    /** Starts the time to live of [lease] anew. */
+    suspend fun renewLease(lease: Long): LeaseRenewal {
+        rateLimiter.acquireWithoutWaiting()
+        metrics.count("renewals")
+        val reply = call(transport, "POST", "/holds/$lease/extend", EMPTY_BODY, RENEWAL_TIMEOUT_MS)
+        return when ((reply as? Reply.Answer)?.status) {
+            HttpStatus.OK -> LeaseRenewal.RENEWED
+            HttpStatus.NOT_FOUND -> LeaseRenewal.EXPIRED
+            else -> LeaseRenewal.FAILED
+        }
+    }
 
-            is Reply.Answer -> when (reply.status) {
-                200 -> parse(RevisionResponse.serializer(), reply)?.let { TransactionOutcome.Applied(it.revision) }
-                    ?: TransactionOutcome.Unknown("unreadable answer")
+    /** The changes of keys that begin with [prefix] after [revision]; the store waits up to [waitMs] for one. */
+    suspend fun watch(prefix: String, revision: Long, waitMs: Long): WatchResult {
+        rateLimiter.acquire()
+        metrics.count("watches")
+        val target = "/watch?Under=$prefix&After=$revision&WaitMs=$waitMs"
+        return when (val reply = call(watchTransport, "GET", target, null, waitMs + WATCH_SLACK_MS)) {
+            is Reply.None -> WatchResult.Failed(reply.why)
+            is Reply.Answer -> watchResult(reply)
+        }
+    }
 
-                409 -> parse(RevisionResponse.serializer(), reply)?.let {
-                    TransactionOutcome.Conflict(it.failed, it.revision)
-                }
-                    ?: TransactionOutcome.Unknown("unreadable answer")
+    private fun watchResult(reply: Reply.Answer): WatchResult = when (reply.status) {
+        HttpStatus.OK -> parse(WatchEvents.serializer(), reply)?.let { WatchResult.Events(it) }
+            ?: WatchResult.Failed(UNREADABLE)
 
-                400, 429, 503 -> TransactionOutcome.Refused(reply.status)
+        HttpStatus.GONE -> WatchResult.Compacted
 
-                else -> TransactionOutcome.Unknown("status ${reply.status}")
-            }
-        }
+        else -> WatchResult.Failed("status ${reply.status}")
     }
 
-    suspend fun grantLease(ttlMs: Long): Long? {
-        budget.acquireWithoutWaiting()
-        val body = WireJson.encodeToString(LeaseRequest.serializer(), LeaseRequest(ttlMs)).encodeToByteArray()
-        return decode(LeaseGrant.serializer(), call(http, "POST", "/holds", body, GRANT_MS))?.lease
+    private suspend fun readRevision(): Long? {
+        metrics.count("barrier reads")
+        val reply = call(transport, "GET", ABSENT_KEY_TARGET, null, READ_TIMEOUT_MS)
+        if (reply !is Reply.Answer || reply.status != HttpStatus.NOT_FOUND) return null
+        return parse(RevisionResponse.serializer(), reply)?.revision
     }
 
-    suspend fun renewLease(lease: Long): LeaseRenewal {
-        budget.acquireWithoutWaiting()
-        figures.count("renewals")
-        val reply = call(http, "POST", "/holds/$lease/extend", EMPTY, RENEW_MS)
-        return when ((reply as? Reply.Answer)?.status) {
-            200 -> LeaseRenewal.Renewed
-            404 -> LeaseRenewal.Gone
-            else -> LeaseRenewal.Failed
+    private suspend fun send(conditions: List<VersionCondition>, changes: List<KeyChange>): TransactionOutcome {
+        metrics.count("transactions")
+        metrics.count("changes", changes.size)
+        val body = encode(TransactionRequest.serializer(), TransactionRequest(conditions, changes))
+        return when (val reply = call(transport, "POST", "/txn", body, TRANSACTION_TIMEOUT_MS)) {
+            is Reply.None -> TransactionOutcome.Unknown(reply.why)
+            is Reply.Answer -> transactionOutcome(reply)
         }
     }
 
-    suspend fun watch(prefix: String, after: Long, waitMs: Long): WatchResult {
-        budget.acquire()
-        figures.count("watches")
-        val reply = call(
-            watchHttp,
-            "GET",
-            "/watch?Under=$prefix&After=$after&WaitMs=$waitMs",
-            null,
-            waitMs + WATCH_SLACK_MS,
-        )
-        return when {
-            reply is Reply.None -> WatchResult.Failed(reply.why)
-
-            reply is Reply.Answer && reply.status == 410 -> WatchResult.TooOld
-
-            reply is Reply.Answer && reply.status == 200 ->
-                parse(WatchEvents.serializer(), reply)?.let { WatchResult.Events(it) }
-                    ?: WatchResult.Failed("unreadable answer")
-
-            else -> WatchResult.Failed("status ${(reply as Reply.Answer).status}")
-        }
+    private fun transactionOutcome(reply: Reply.Answer): TransactionOutcome = when (reply.status) {
+        HttpStatus.OK -> parse(RevisionResponse.serializer(), reply)?.let { TransactionOutcome.Applied(it.revision) }
+            ?: TransactionOutcome.Unknown(UNREADABLE)
+
+        HttpStatus.CONFLICT ->
+            parse(RevisionResponse.serializer(), reply)?.let { TransactionOutcome.Conflict(it.failed, it.revision) }
+                ?: TransactionOutcome.Unknown(UNREADABLE)
+
+        HttpStatus.BAD_REQUEST, HttpStatus.TOO_MANY_REQUESTS, HttpStatus.SERVICE_UNAVAILABLE ->
+            TransactionOutcome.Refused(reply.status)
+
+        else -> TransactionOutcome.Unknown("status ${reply.status}")
     }
 
     private suspend fun call(
-        link: Transport,
+        transport: Transport,
         method: String,
         target: String,
         body: ByteArray?,
         timeoutMs: Long,
     ): Reply {
-        val reply = link.call(method, target, body, timeoutMs)
-        if (reply is Reply.Answer && reply.status == TOO_MANY_REQUESTS) budget.refused()
+        val reply = transport.call(method, target, body, timeoutMs)
+        if (reply is Reply.Answer && reply.status == HttpStatus.TOO_MANY_REQUESTS) rateLimiter.onRateRefused()
         return reply
     }
 
-    private fun <T> decode(serializer: KSerializer<T>, reply: Reply): T? =
-        if (reply is Reply.Answer && reply.status == 200) parse(serializer, reply) else null
+    private fun <T> encode(serializer: KSerializer<T>, value: T): ByteArray =
+        WireJson.encodeToString(serializer, value).encodeToByteArray()
+
+    private fun <T> parseIfOk(serializer: KSerializer<T>, reply: Reply): T? =
+        if (reply is Reply.Answer && reply.status == HttpStatus.OK) parse(serializer, reply) else null
 
+    /** Null: not what the protocol says; callers treat it like an answer that did not arrive. */
     private fun <T> parse(serializer: KSerializer<T>, reply: Reply.Answer): T? = try {
         WireJson.decodeFromString(serializer, reply.text)
-    } catch (e: SerializationException) {
+    } catch (_: SerializationException) {
         null
     }
 
-    private companion object {
-        val EMPTY = ByteArray(0)
-        const val TOO_MANY_REQUESTS = 429
-        const val LIST_MS = 10_000L
-        const val READ_MS = 1_500L
-        const val TXN_MS = 2_500L
-        const val GRANT_MS = 2_000L
-        const val RENEW_MS = 1_500L
-        const val WATCH_SLACK_MS = 3_000L
+    companion object {
+        /** A key that is never put: reading it costs the store little and tells its revision. */
+        internal const val ABSENT_KEY_TARGET = "/store/o/none"
+        private val EMPTY_BODY = ByteArray(0)
+        private const val UNREADABLE = "unreadable answer"
+        private const val PAGE_SIZE = 200
+        private const val LIST_TIMEOUT_MS = 10_000L
+        private const val READ_TIMEOUT_MS = 1_500L
+        private const val TRANSACTION_TIMEOUT_MS = 2_500L
+        private const val GRANT_TIMEOUT_MS = 2_000L
+        private const val RENEWAL_TIMEOUT_MS = 1_500L
+
+        /** How much longer than the store may wait its answer may take. */
+        private const val WATCH_SLACK_MS = 3_000L
     }
 }
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/store/ReplicaContents.kt
@@ -0,0 +1,91 @@
+package io.otterknot.store
+
+import io.otterknot.wire.KeyChange
+import io.otterknot.wire.WatchEvents
+import kotlinx.coroutines.flow.MutableStateFlow
+import kotlinx.coroutines.flow.StateFlow
+import kotlinx.serialization.json.JsonElement
+import org.slf4j.LoggerFactory
+import java.util.TreeMap
+
+/** The value of a key in the replica and the version, above 0, of that value. */
+class ReplicaEntry(val value: JsonElement, val version: Long)
+
+/** The entries of a [StoreReplica] and the revision that they are at. No key ever goes back to an earlier version. */
+internal class ReplicaContents {
+    private val log = LoggerFactory.getLogger(StoreReplica::class.java)
+    private val entries = TreeMap<String, ReplicaEntry>()
+    private val revisionFlow = MutableStateFlow(NOT_LOADED)
+
+    /** See [StoreReplica.onChange]. */
+    var onChange: (key: String, entry: ReplicaEntry?) -> Unit = { _, _ -> }
+
+    /** See [StoreReplica.onBatchApplied]. */
+    var onBatchApplied: () -> Unit = {}
+
+    /** Every change up to this revision is in [entries]; [NOT_LOADED] before the first load. */
+    val revision: StateFlow<Long> get() = revisionFlow
+    val isLoaded: Boolean get() = revisionFlow.value != NOT_LOADED
+
+    operator fun get(key: String): ReplicaEntry? = entries[key]
+
+    fun entriesUnder(prefix: String): List<Pair<String, ReplicaEntry>> =
+        entries.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.map { it.key to it.value }
+
+    /** Applies what a watch has brought. */
+    fun apply(watched: WatchEvents) {
+        watched.events.forEach(::apply)
+        if (watched.revision > revisionFlow.value) revisionFlow.value = watched.revision
+        onBatchApplied()
+    }
+
+    /**
+     * Replaces everything by [read], which is at [revision] or, in parts, later. False: that is older than what is here
+     * already, and nothing was changed.
+     */
+    fun replaceAll(read: Map<String, ReplicaEntry>, revision: Long): Boolean {
+        if (revision < revisionFlow.value) {
+            log.error(
+                "replica revision={} read again at earlier revision={}: ignored, since no key may go back",
+                revisionFlow.value,
+                revision,
+            )
+            return false
+        }
+        val removedKeys = entries.keys.filter { it !in read }
+        removedKeys.forEach(::remove)
+        for ((key, entry) in read) {
+            if (entries[key]?.version != entry.version) put(key, entry)
+        }
+        revisionFlow.value = revision
+        log.info("replica loaded keys={} revision={}", read.size, revision)
+        onBatchApplied()
+        return true
+    }
+
+    private fun apply(event: KeyChange) {
+        val version = event.version ?: return
+        val known = entries[event.key]
+        if (known != null && known.version >= version) return
+        val value = event.value
+        if (event.put != null && value != null) {
+            put(event.key, ReplicaEntry(value, version))
+        } else if (known != null) {
+            remove(event.key)
+        }
+    }
+
+    private fun put(key: String, entry: ReplicaEntry) {
+        entries[key] = entry
+        onChange(key, entry)
+    }
+
+    private fun remove(key: String) {
+        entries.remove(key)
+        onChange(key, null)
+    }
+
+    private companion object {
+        const val NOT_LOADED = -1L
+    }
+}
--- a/src/test/kotlin/io/otterknot/api/JobCancellationTest.kt
+++ b/src/test/kotlin/io/otterknot/api/JobCancellationTest.kt
@@ -36,7 +36,7 @@
             }, { emptyList() }, emptyList(), WriteLimits(8_192, 40),
             { false }, bench.now, Random(1),
         )
-        val background = listOf(launch { replica.followWatch() }, launch { replica.serveBarrier() })
+        val background = listOf(launch { replica.followWatch() }, launch { replica.serveReadBarriers() })
         replica.awaitLoaded()
         bench.state.store(jobChange(id, JobRecord(spec, listOf(TaskSpan("a", 0, 1)))))
         delay(200)
--- a/src/test/kotlin/io/otterknot/api/SubmissionResponseTest.kt
+++ b/src/test/kotlin/io/otterknot/api/SubmissionResponseTest.kt
@@ -73,7 +73,7 @@
             bench.client, bench.replica, bench.readJobs(), emptyMap(), { listOf(PartitionView("a")) }, { types },
             listOf(TeamSettings("red")), WriteLimits(8_192, 40), { false }, bench.now, Random(1),
         )
-        val background = listOf(launch { bench.replica.followWatch() }, launch { bench.replica.serveBarrier() })
+        val background = listOf(launch { bench.replica.followWatch() }, launch { bench.replica.serveReadBarriers() })
         bench.replica.awaitLoaded()
         val answer = async { api.submit(submissionBody(spec)) }
         delay(300)
--- a/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
+++ b/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
@@ -46,7 +46,7 @@
         val completions = CompletionSegmentRecord(ids.associateWith { "AQ" })
         val done =
             KeyChange(
-                put = StoreKeys.done("a", "1-0"),
+                put = StoreKeys.completionSegment("a", "1-0"),
                 value = encodeRecord(CompletionSegmentRecord.serializer(), completions),
             )
         val accepted = ids.map { jobChange(it, JobRecord(smallJob(it), listOf(TaskSpan("a", 0, 1)))) }
--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -171,7 +171,7 @@
         assertEquals(TerminalState.CANCELLED, outcome(6), "submitted after the cancellation")
         val completions =
             encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(mapOf(id(4) to "Aw")))
-        table.applyCompletionSegment(StoreKeys.done("a", "1-0"), ReplicaEntry(completions, ++revision))
+        table.applyCompletionSegment(StoreKeys.completionSegment("a", "1-0"), ReplicaEntry(completions, ++revision))
         assertTrue(!table[id(4)]!!.complete, "it is never called done")
     }
 
--- a/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
@@ -30,7 +30,7 @@
     /** A segment of an owner with [token], in which the tasks in [bits] are done. */
     private fun segment(token: Int, bits: String, version: Long): (JobTable) -> Unit = {
         val value = encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(mapOf(id to bits)))
-        it.applyCompletionSegment(StoreKeys.done("a", "$token-0"), ReplicaEntry(value, version))
+        it.applyCompletionSegment(StoreKeys.completionSegment("a", "$token-0"), ReplicaEntry(value, version))
     }
 
     private val accepted = record(JobRecord(spec, listOf(TaskSpan("a", 0, 2))), 1)
@@ -90,6 +90,6 @@
         accepted(jobs)
         val cancellation = JobTransitions.cancel(jobs[id]!!, 5, limits)!!
         record(JobRecord(final = TerminalState.DONE, tasks = 2), 6)(jobs)
-        assertTrue(cancellation.guards.single().let { it.key == key && it.version == 1L })
+        assertTrue(cancellation.conditions.single().let { it.key == key && it.version == 1L })
     }
 }
--- a/src/test/kotlin/io/otterknot/leadership/PartitionLeadershipTest.kt
+++ b/src/test/kotlin/io/otterknot/leadership/PartitionLeadershipTest.kt
@@ -4,7 +4,9 @@
 import io.otterknot.config.SettingsFile
 import io.otterknot.jobs.JobTable
 import io.otterknot.metrics.Metrics
+import io.otterknot.ratelimit.RateLimitShare
 import io.otterknot.ratelimit.RateLimiter
+import io.otterknot.ratelimit.RateLimits
 import io.otterknot.records.CompletionSegmentRecord
 import io.otterknot.records.JobRecord
 import io.otterknot.records.RecordSegments
@@ -84,7 +86,7 @@
     fun `reads do not wait for changes, and users not for background tasks`() = runTest {
         val budget = RateLimiter(50.0, 5.0, { testScheduler.currentTime })
         repeat(4) { launch { budget.acquireSpare(4) } }
-        repeat(4) { launch { budget.acquireSpare(1, lesser = true) } }
+        repeat(4) { launch { budget.acquireSpare(1, lowPriority = true) } }
         // Submissions in a burst go into debt for a while.
         repeat(3) { launch { assertTrue(budget.tryAcquire(3, 5_000)) } }
         testScheduler.runCurrent()
@@ -114,7 +116,7 @@
     @Test
     fun `a share that grows brings more and one that shrinks less, never a burst beyond it`() = runTest {
         var share = 0.2
-        val budget = RateLimiter(1_000.0, 100.0, { testScheduler.currentTime }, { RateLimiter.Share(share, share) })
+        val budget = RateLimiter(1_000.0, 100.0, { testScheduler.currentTime }, { RateLimitShare(share, share) })
         suspend fun changesIn(ms: Long): Int {
             val until = currentTime + ms
             var count = 0
@@ -180,8 +182,8 @@
         figures.count("changes", 3)
         figures.count("changes")
         for (ms in 1L..100L) figures.recordDuration("barrier", ms)
-        assertEquals("changes 4", figures.countsText())
-        assertEquals("barrier 50, 99", figures.timesText())
+        assertEquals("changes 4", figures.formatCounts())
+        assertEquals("barrier 50, 99", figures.formatDurations())
     }
 
     @Test
@@ -328,16 +330,16 @@
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `refusals that the known limits do not explain make a node slow down for a while`() = runTest {
-        val budget = RateLimiter(100.0, 10.0, { testScheduler.currentTime }, later = RateLimiter.Limits(100.0, 10.0))
+        val budget = RateLimiter(100.0, 10.0, { testScheduler.currentTime }, loweredLimits = RateLimits(100.0, 10.0))
         suspend fun secondsFor(changes: Int) = secondsFor(budget, changes)
         secondsFor(10)
-        repeat(2) { budget.refused() }
-        budget.refused()
+        repeat(2) { budget.onRateRefused() }
+        budget.onRateRefused()
         secondsFor(10)
         assertEquals(2, secondsFor(20), "others may not have noticed yet")
         delay(9_000)
         repeat(6) {
-            budget.refused()
+            budget.onRateRefused()
             delay(2_100)
         }
         secondsFor(10)
@@ -351,16 +353,16 @@
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `lower limits that were told of hold once requests are refused for their rate`() = runTest {
-        val budget = RateLimiter(100.0, 10.0, { testScheduler.currentTime }, later = RateLimiter.Limits(100.0, 5.0))
+        val budget = RateLimiter(100.0, 10.0, { testScheduler.currentTime }, loweredLimits = RateLimits(100.0, 5.0))
         suspend fun secondsFor(changes: Int) = secondsFor(budget, changes)
         secondsFor(10)
         assertEquals(3, secondsFor(30))
-        budget.refused()
+        budget.onRateRefused()
         delay(11_000)
-        budget.refused()
+        budget.onRateRefused()
         secondsFor(10)
         assertEquals(3, secondsFor(30))
-        budget.refused()
+        budget.onRateRefused()
         secondsFor(10)
         assertTrue(secondsFor(30) in 5..6)
     }
@@ -387,7 +389,7 @@
             ),
         )
         fun segment(bits: Map<String, String>) = table.applyCompletionSegment(
-            StoreKeys.done("a", "7-0"),
+            StoreKeys.completionSegment("a", "7-0"),
             ReplicaEntry(encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(bits)), 2),
         ).map {
             it.id
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -279,9 +279,9 @@
 
     @Test
     fun `requests to the state service are these`() = runTest {
-        val put = CompareAndSwap.put(Snapshot.absent("a/b"), JsonPrimitive(1), 7).andRemove(listOf("c/d"))
-        state(200, """{"Tide":432}""").txn(put)
-        state(200, """{"Tide":432}""").compare(listOf(VersionCondition("a/b", 3)))
+        val put = CompareAndSwap.put(Snapshot.absent("a/b"), JsonPrimitive(1), 7).alsoRemove(listOf("c/d"))
+        state(200, """{"Tide":432}""").transact(put)
+        state(200, """{"Tide":432}""").checkConditions(listOf(VersionCondition("a/b", 3)))
         state(404, """{"Tide":431}""").revision()
         state(200, """{"Pairs":[],"Tide":1}""").list("o/", null)
         state(200, """{"Pairs":[],"Tide":1}""").list("o/", "o/j/j-7")
@@ -492,7 +492,7 @@
 
     private suspend fun Node.start() = CoroutineScope(currentCoroutineContext()).run {
         launch { bench.replica.followWatch() }
-        launch { bench.replica.serveBarrier() }
+        launch { bench.replica.serveReadBarriers() }
         bench.replica.awaitLoaded()
     }
 
@@ -1180,23 +1180,23 @@
         fun texts(): List<Exact> = listOf(
             Exact("root of all keys", "o/") { StoreKeys.ROOT },
             Exact("keys of jobs", "o/j/") { StoreKeys.JOBS },
-            Exact("keys of completions", "o/d/") { StoreKeys.DONE },
+            Exact("keys of completions", "o/d/") { StoreKeys.COMPLETIONS },
             Exact("keys of partitions", "o/p/") { StoreKeys.PARTITIONS },
             Exact("keys of machines", "o/m/") { StoreKeys.MACHINES },
-            Exact("keys of means", "o/s/") { StoreKeys.MEANS },
-            Exact("keys of allotments", "o/q/") { StoreKeys.ALLOTMENTS },
-            Exact("keys of overrides", "o/x/") { StoreKeys.OVERRIDES },
-            Exact("keys of awaited jobs", "o/w/") { StoreKeys.AWAITS },
-            Exact("key of machine types", "o/t") { StoreKeys.TYPES },
+            Exact("keys of means", "o/s/") { StoreKeys.PARTITION_LOADS },
+            Exact("keys of allotments", "o/q/") { StoreKeys.QUOTA_SHARES },
+            Exact("keys of overrides", "o/x/") { StoreKeys.TAKEOVERS },
+            Exact("keys of awaited jobs", "o/w/") { StoreKeys.DEPENDENCIES },
+            Exact("key of machine types", "o/t") { StoreKeys.MACHINE_TYPES },
             Exact("key of a job", "o/j/j-000412") { StoreKeys.job("j-000412") },
-            Exact("key of completions", "o/d/a/7-0") { StoreKeys.done("a", "7-0") },
+            Exact("key of completions", "o/d/a/7-0") { StoreKeys.completionSegment("a", "7-0") },
             Exact("key of a partition", "o/p/a") { StoreKeys.partition("a") },
-            Exact("keys of a zone's machines", "o/m/a/") { StoreKeys.machines("a") },
-            Exact("key of a zone's machines", "o/m/a/3") { StoreKeys.machines("a", 3) },
-            Exact("key of awaited jobs", "o/w/j-000412/2") { StoreKeys.awaits("j-000412", 2) },
-            Exact("key of an override", "o/x/a") { StoreKeys.override("a") },
-            Exact("key of a mean", "o/s/a") { StoreKeys.mean("a") },
-            Exact("key of an allotment", "o/q/red") { StoreKeys.allotment("red") },
+            Exact("keys of a zone's machines", "o/m/a/") { StoreKeys.machineSegments("a") },
+            Exact("key of a zone's machines", "o/m/a/3") { StoreKeys.machineSegment("a", 3) },
+            Exact("key of awaited jobs", "o/w/j-000412/2") { StoreKeys.dependencySegment("j-000412", 2) },
+            Exact("key of an override", "o/x/a") { StoreKeys.takeoverMarker("a") },
+            Exact("key of a mean", "o/s/a") { StoreKeys.partitionLoad("a") },
+            Exact("key of an allotment", "o/q/red") { StoreKeys.quotaShares("red") },
             Exact("name of a chunk", "j-7.3") { TaskBitmaps.name("j-7", 3) },
             Exact("name of the first chunk", "j-7") { TaskBitmaps.name("j-7", 0) },
             Exact("sizes of chunks", "16384 4096 4096 16384") {
--- a/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
@@ -114,7 +114,7 @@
         val value = encodeRecord(CompletionSegmentRecord.serializer(), record)
         assertEquals(
             setOf("j-1", "j-2"),
-            table.applyCompletionSegment(StoreKeys.done("a", "7-0"), ReplicaEntry(value, 1)).map {
+            table.applyCompletionSegment(StoreKeys.completionSegment("a", "7-0"), ReplicaEntry(value, 1)).map {
                 it.id
             }.toSet(),
         )
--- a/src/test/kotlin/io/otterknot/store/StoreConnectionTest.kt
+++ b/src/test/kotlin/io/otterknot/store/StoreConnectionTest.kt
@@ -59,7 +59,7 @@
     ) = runTest {
         val contact = StoreHealth { clockMs }
         repeat(failures) {
-            contact.note(reply("503"))
+            contact.recordReply(reply("503"))
             clockMs += 500
         }
         var sent = 0
--- a/src/test/kotlin/io/otterknot/store/StoreReplicaTest.kt
+++ b/src/test/kotlin/io/otterknot/store/StoreReplicaTest.kt
@@ -43,7 +43,7 @@
             }
             val client = KeyValueStoreClient(counted, counted, RateLimiter(perS, 100.0, now), Metrics(now))
             val replica = StoreReplica(client, Random(1), now, pauseMs = 250)
-            val background = listOf(launch { replica.followWatch() }, launch { replica.serveBarrier() })
+            val background = listOf(launch { replica.followWatch() }, launch { replica.serveReadBarriers() })
             replica.awaitLoaded()
             delay(1_000)
             val began = currentTime
@@ -77,7 +77,7 @@
             }
         }
         val replica = bench.replica
-        val background = listOf(launch { replica.followWatch() }, launch { replica.serveBarrier() })
+        val background = listOf(launch { replica.followWatch() }, launch { replica.serveReadBarriers() })
         replica.awaitLoaded()
         answerMs = 400
         val first = async { replica.awaitReadBarrier(5_000) }
@@ -125,7 +125,7 @@
     fun `a barrier does not pass while the watch stands still`() = runTest {
         val bench = StoreFixture(this)
         val replica = bench.replica
-        val background = listOf(launch { replica.followWatch() }, launch { replica.serveBarrier() })
+        val background = listOf(launch { replica.followWatch() }, launch { replica.serveReadBarriers() })
         replica.awaitLoaded()
         bench.state.watchless = "n"
         bench.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(1)))
--- a/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
+++ b/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
@@ -37,8 +37,8 @@
     @CsvSource("1,4000,3000,40", "1,1100,1024,40", "2,4000,8192,1", "16,100,8192,8", "17,100,8192,8")
     fun `several changes are halved in number, a single one in size`(count: Int, bytes: Int, value: Int, ops: Int) {
         val limits = WriteLimits(8_192, 40)
-        limits.refused(List(count) { KeyChange(put = "k$it", value = value(bytes)) })
-        assertEquals(value to ops, limits.valueBytes to limits.txnOps)
+        limits.reduceAfterRefusal(List(count) { KeyChange(put = "k$it", value = value(bytes)) })
+        assertEquals(value to ops, limits.maxValueBytes to limits.maxTransactionChanges)
     }
 
     @Test
@@ -59,8 +59,8 @@
             BatchWriter(bench.client, bench.replica, Random(1), WriteLimits(8_192, 40)) { testScheduler.currentTime }
         val small = (1..9).map { PendingWrite("o/d/a/$it", value(100)) }
         val large = PendingWrite("o/m/a/0", value(2_000))
-        val dependent = PendingWrite("o/m/a/1", value(200), after = setOf(large.key))
-        val chained = PendingWrite("o/m/a/2", value(200), after = setOf(dependent.key))
+        val dependent = PendingWrite("o/m/a/1", value(200), dependsOn = setOf(large.key))
+        val chained = PendingWrite("o/m/a/2", value(200), dependsOn = setOf(dependent.key))
         val writes = listOf(large, dependent, chained) + small
         while (testScheduler.currentTime < 4_000 && writer.write(VersionCondition("o/p/a", 0), writes) {}) Unit
         assertTrue(small.all { bench.state.value(it.key) != null }, "the others are written")
--- a/src/test/kotlin/io/otterknot/testing/StoreFixture.kt
+++ b/src/test/kotlin/io/otterknot/testing/StoreFixture.kt
@@ -37,7 +37,7 @@
         val jobs = JobTable()
         replica.onChange = { key, entry ->
             if (key.startsWith(StoreKeys.JOBS)) jobs.applyJobChange(key, entry)
-            if (key.startsWith(StoreKeys.DONE)) jobs.applyCompletionSegment(key, entry)
+            if (key.startsWith(StoreKeys.COMPLETIONS)) jobs.applyCompletionSegment(key, entry)
         }
         return jobs
     }
