--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -17,8 +17,10 @@
 import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.leadership.leaseTtlMs
 import io.otterknot.metrics.Metrics
+import io.otterknot.partition.LeadershipTerm
 import io.otterknot.partition.LeaseTimings
 import io.otterknot.partition.Partition
+import io.otterknot.partition.SchedulingInputs
 import io.otterknot.partition.TeamQuota
 import io.otterknot.peer.IdlePartitionAnnouncer
 import io.otterknot.peer.IdlePartitions
@@ -196,7 +198,7 @@
                 figures.logPeriodically()
                 if (now - before > SWEEP_MS + SLOW_MS) slowUntilMs = now + SLOW_FOR_MS
                 takeUpClaims()
-                partitions.values.forEach { it.sweep(now, slow = now < slowUntilMs) }
+                partitions.values.forEach { it.sweep(now, isLeaderSlow = now < slowUntilMs) }
             }
         }
     }
@@ -280,16 +282,16 @@
             val registered = machines.of(zone)
             val wallAhead = { wallMs() - nowMs() }
             val partition = Partition(
-                zone = zone,
-                fencingToken = token,
-                claimedMs = nowMs(),
-                priorLeaderUntilMs = ownership.takeoverMarkers.othersUntilMs(zone, claim.overriding),
-                times = LeaseTimings(leaseMs),
-                random = random,
-                aims = aims,
-                wallOf = { it + wallAhead() },
-                typeOf = catalog::type,
-                teamShares = teamShares(zone),
+                term = LeadershipTerm(
+                    zone = zone,
+                    fencingToken = token,
+                    acquiredMs = nowMs(),
+                    priorLeaderUntilMs = ownership.takeoverMarkers.othersUntilMs(zone, claim.overriding),
+                ),
+                leases = LeaseTimings(leaseMs),
+                scheduling = SchedulingInputs(aims, random, wallTimeOf = { it + wallAhead() }),
+                machineTypes = catalog::type,
+                teamQuotas = teamShares(zone),
                 registeredMachines = registered,
             )
             jobs.live.values.forEach { partition.updateJob(it, inherited = true) }
--- a/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
@@ -30,7 +30,7 @@
         if (report.fencingToken > token) return lost(zone)
         // Claimed, but not everything written before the claim has been read yet: no commands, only the new token.
         val partition = partitions[zone]?.takeIf { it.fencingToken == token } ?: return answer(token, emptyList())
-        return when (val decision = partition.handleHeartbeat(report, nowMs())) {
+        return when (val decision = partition.applyHeartbeat(report, nowMs())) {
             is HeartbeatDecision.Answer -> answer(decision.fencingToken, decision.commands)
             HeartbeatDecision.Superseded -> lost(zone)
             HeartbeatDecision.Stale -> HttpResponse.refusal(503, "a newer report came before this one")
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
@@ -0,0 +1,93 @@
+package io.otterknot.partition
+
+import io.otterknot.scheduling.Attempt
+import io.otterknot.scheduling.Machine
+import io.otterknot.scheduling.PartitionJob
+import io.otterknot.wire.HeartbeatCommand
+import io.otterknot.wire.ExitCause
+import io.otterknot.wire.TaskStatus
+import org.slf4j.LoggerFactory
+
+/** Applies what heartbeats show of tasks that have exited. */
+class ExitReconciler(
+    private val zone: String,
+    private val attempts: AttemptLedger,
+    private val stragglers: StragglerDetector,
+) {
+    private val log = LoggerFactory.getLogger(ExitReconciler::class.java)
+
+    /** [attempt], which is booked here, has exited; the command to respond with, or null: none yet. */
+    fun booked(attempt: Attempt, status: TaskStatus, now: Long): HeartbeatCommand? {
+        attempts.release(attempt)
+        if (status.cause == ExitCause.DONE) {
+            val command = complete(attempt.machine, attempt.job, attempt.task, status)
+            stragglers.completed(attempt.machine, attempt, now)
+            return command
+        }
+        when (status.cause) {
+            ExitCause.ERROR -> recordFailure(attempt.machine, attempt.job, now)
+            ExitCause.STOPPED -> Unit
+            else -> logUnexpectedExit(attempt.machine, status)
+        }
+        attempts.requeue(attempt)
+        return forget(status)
+    }
+
+    /** A task of [job] that is not booked here has exited; the command to respond with, or null: none yet. */
+    fun unbooked(machine: Machine, job: PartitionJob, task: Int, status: TaskStatus): HeartbeatCommand? {
+        if (status.cause == ExitCause.DONE) return complete(machine, job, task, status)
+        if (job.isUnassigned(task) && !job.inDoubt.get(task)) attempts.requeue(job, task)
+        return forget(status)
+    }
+
+    /** Null until the completion is durable: until then the machine's heartbeats are the only trace of it. */
+    private fun complete(machine: Machine, job: PartitionJob, task: Int, status: TaskStatus): HeartbeatCommand? {
+        machine.failedJobs.clear()
+        machine.failures = 0
+        if (job.job.done.get(task)) return forget(status)
+        if (job.owned.get(task)) attempts.recordCompletion(job, task)
+        return null
+    }
+
+    private fun forget(status: TaskStatus) = HeartbeatCommand.forget(status.task, status.attempt)
+
+    private fun recordFailure(machine: Machine, job: PartitionJob, now: Long) {
+        job.failures++
+        machine.avoid(job, now)
+        machine.failures++
+        if (isFaulty(machine, job)) machine.draining = true
+        if (job.failures > MAX_FAILURES_WITHOUT_DELAY) job.retryAtMs = now + retryDelayMs(job.failures)
+    }
+
+    /**
+     * A machine is faulty if several jobs fail on it, or if one that completes elsewhere does so again and again. A job
+     * that fails everywhere says nothing of machines, but must not keep them all busy.
+     */
+    private fun isFaulty(machine: Machine, job: PartitionJob): Boolean {
+        if (machine.failures < MIN_FAILURES_OF_FAULTY_MACHINE) return false
+        return machine.failedJobs.size >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE || !job.job.done.isEmpty
+    }
+
+    private fun retryDelayMs(failures: Int): Long =
+        minOf(MAX_RETRY_DELAY_MS, RETRY_DELAY_UNIT_MS shl minOf(failures, MAX_RETRY_DOUBLINGS))
+
+    private fun logUnexpectedExit(machine: Machine, status: TaskStatus) {
+        log.warn(
+            "partition={} machine={} task={} cause={} attempt exited unexpectedly, its task is requeued",
+            zone,
+            machine.id,
+            status.task,
+            status.cause?.wireName,
+        )
+    }
+
+    private companion object {
+        /** In a row, without a completion in between. */
+        const val MIN_FAILURES_OF_FAULTY_MACHINE = 3
+        const val MIN_FAILED_JOBS_OF_FAULTY_MACHINE = 2
+        const val MAX_FAILURES_WITHOUT_DELAY = 3
+        const val RETRY_DELAY_UNIT_MS = 500L
+        const val MAX_RETRY_DOUBLINGS = 10
+        const val MAX_RETRY_DELAY_MS = 30_000L
+    }
+}
--- a/src/main/kotlin/io/otterknot/partition/HeartbeatHistory.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatHistory.kt
@@ -3,33 +3,33 @@
 import io.otterknot.wire.Heartbeat
 
 /**
- * How far machines that were let go had reported, the latest of them; late copies of reports show less. How many are
- * kept grows with the partition, now of [machineCount] machines: the more it has, the more come and go in the time
- * that a copy may be late.
+ * The last heartbeat of each machine that was forgotten lately; late copies of heartbeats show less. How many are kept
+ * grows with the partition, now of [machineCount] machines: the more it has, the more are released and replaced in the
+ * time that a copy may be late.
  */
 class HeartbeatHistory(private val machineCount: () -> Int) {
-    private class Seen(val session: Long, val seq: Long)
+    private class LastHeartbeat(val epoch: Long, val sequence: Long)
 
-    private val machines = object : LinkedHashMap<String, Seen>() {
-        override fun removeEldestEntry(eldest: Map.Entry<String, Seen>) =
-            size > maxOf(LEAST_KEPT, machineCount() * KEPT_FOR_EACH_MACHINE)
+    private val machines = object : LinkedHashMap<String, LastHeartbeat>() {
+        override fun removeEldestEntry(eldest: Map.Entry<String, LastHeartbeat>) =
+            size > maxOf(MIN_CAPACITY, machineCount() * CAPACITY_PER_MACHINE)
     }
 
     val size: Int get() = machines.size
 
-    fun note(id: String, session: Long, seq: Long) {
-        machines[id] = Seen(session, seq)
+    fun record(id: String, epoch: Long, sequence: Long) {
+        machines[id] = LastHeartbeat(epoch, sequence)
     }
 
-    /** The machine is no more: nothing is newer. */
-    fun gone(id: String) = note(id, Long.MAX_VALUE, Long.MAX_VALUE)
+    /** The machine is gone for good: no heartbeat of it is new. */
+    fun recordGone(id: String) = record(id, Long.MAX_VALUE, Long.MAX_VALUE)
 
-    /** Whether [report] is newer than all that is known of its machine. */
-    fun isNews(report: Heartbeat): Boolean =
-        machines[report.machine]?.let { report.isNewerThan(it.session, it.seq) } ?: true
+    /** Whether [heartbeat] is newer than the last one recorded of its machine, if any. */
+    fun isNewer(heartbeat: Heartbeat): Boolean =
+        machines[heartbeat.machine]?.let { heartbeat.isNewerThan(it.epoch, it.sequence) } ?: true
 
     private companion object {
-        const val LEAST_KEPT = 4_096
-        const val KEPT_FOR_EACH_MACHINE = 8
+        const val MIN_CAPACITY = 4_096
+        const val CAPACITY_PER_MACHINE = 8
     }
 }
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/partition/JobBook.kt
@@ -0,0 +1,142 @@
+package io.otterknot.partition
+
+import io.otterknot.jobs.Job
+import io.otterknot.records.JobRecord
+import io.otterknot.scheduling.AttemptPhase
+import io.otterknot.scheduling.PartitionJob
+import java.util.BitSet
+
+/**
+ * The jobs of which tasks belong to a partition, as the replica of the store shows them, and which of these tasks may
+ * start here.
+ */
+class JobBook(
+    private val zone: String,
+    private val attempts: AttemptLedger,
+    private val teams: TeamQuotaLedger,
+    private val waitingWork: WaitingWork,
+    private val trigger: PlacementTrigger,
+) {
+    private val byId = NameIndex<PartitionJob> { it.id }
+
+    val all: List<PartitionJob> get() = byId.all
+
+    operator fun get(id: String): PartitionJob? = byId[id]
+
+    /**
+     * Takes over what the replica now shows of [job]. With [isInDoubt], an earlier leader may have started the tasks
+     * that are new here: they wait until reconciliation is complete.
+     */
+    fun update(job: Job, isInDoubt: Boolean) {
+        val record = job.record ?: return
+        if (record.spec == null || job.outcome != null) {
+            get(job.id)?.let(::drop)
+            return
+        }
+        // Until all that it depends on is done, it is in no queue here and uses nothing.
+        if (!job.ready) return
+        val partitionJob = get(job.id) ?: add(job, record) ?: return
+        if (partitionJob.applyInheritedPriority()) trigger.requestFullPass()
+        updateOwnedTasks(partitionJob, record, isInDoubt)
+    }
+
+    /** Null: none of the job's tasks belongs to this partition. */
+    private fun add(job: Job, record: JobRecord): PartitionJob? {
+        val spec = record.spec ?: return null
+        if (record.spans.none { it.zone == zone }) return null
+        val partitionJob = PartitionJob(job, spec, teams.index(spec.team))
+        byId.add(partitionJob)
+        return partitionJob
+    }
+
+    private fun updateOwnedTasks(partitionJob: PartitionJob, record: JobRecord, isInDoubt: Boolean) {
+        val owned = BitSet()
+        record.spans.forEach { if (it.zone == zone) owned.set(it.from, it.until) }
+        val added = (owned.clone() as BitSet).apply {
+            andNot(partitionJob.owned)
+            andNot(partitionJob.job.done)
+        }
+        val removed = (partitionJob.owned.clone() as BitSet).apply { andNot(owned) }
+        partitionJob.owned.clear()
+        partitionJob.owned.or(owned)
+        if (isInDoubt) partitionJob.inDoubt.or(added) else partitionJob.pending.or(added)
+        partitionJob.pending.andNot(removed)
+        partitionJob.inDoubt.andNot(removed)
+        partitionJob.beingReassigned.andNot(removed)
+        waitingWork.touch(partitionJob)
+        if (!added.isEmpty) trigger.requestFullPass()
+    }
+
+    /** The job has ended: nothing of it starts any more, and what runs is stopped. */
+    private fun drop(job: PartitionJob) {
+        job.finished = true
+        job.pending.clear()
+        job.inDoubt.clear()
+        waitingWork.touch(job)
+        byId.remove(job.id)
+        trigger.requestReordering()
+        for (attempt in job.active.values.toList()) {
+            // What was only booked has never been sent, so its room is free at once.
+            if (attempt.phase == AttemptPhase.BOOKED) attempts.release(attempt) else attempt.requestStop()
+        }
+    }
+
+    /** Reserves pending tasks of [job], the last ones first, for another partition: at most as many as fill [cores]. */
+    fun reserveForReassignment(job: PartitionJob, cores: Double): BitSet {
+        val taskCores = job.spec.cores
+        var remaining = job.pendingCount
+        if (taskCores > 0) remaining = minOf(cores / taskCores, remaining.toDouble()).toInt()
+        val reserved = BitSet()
+        var task = job.pending.length() - 1
+        while (task >= 0 && remaining > 0) {
+            reserved.set(task)
+            remaining--
+            task = job.pending.previousSetBit(task - 1)
+        }
+        job.pending.andNot(reserved)
+        job.beingReassigned.or(reserved)
+        waitingWork.touch(job)
+        return reserved
+    }
+
+    /** The transaction that reassigns [tasks] has an outcome: what still belongs to this partition is pending again. */
+    fun completeReassignment(job: PartitionJob, tasks: BitSet) {
+        val stillOwned = (tasks.clone() as BitSet).apply {
+            and(job.owned)
+            and(job.beingReassigned)
+        }
+        job.beingReassigned.andNot(tasks)
+        if (job.finished || stillOwned.isEmpty) return
+        job.pending.or(stillOwned)
+        waitingWork.touch(job)
+        trigger.requestFullPass()
+    }
+
+    /** Completions of [job] have become durable. */
+    fun applyCompletions(job: Job) {
+        val partitionJob = get(job.id) ?: return
+        partitionJob.unrecordedCompletions.andNot(job.done)
+        partitionJob.pending.andNot(job.done)
+        partitionJob.inDoubt.andNot(job.done)
+        waitingWork.touch(partitionJob)
+    }
+
+    /** No machine can hold a task in doubt any more: all of them are pending now. Returns how many there were. */
+    fun resolveDoubts(): Int {
+        var count = 0
+        for (job in all) {
+            job.inDoubt.andNot(job.job.done)
+            count += job.inDoubt.cardinality()
+            job.pending.or(job.inDoubt)
+            job.inDoubt.clear()
+            waitingWork.touch(job)
+        }
+        trigger.requestFullPass()
+        return count
+    }
+
+    /** How many tasks of the job are seen to run here. */
+    fun runningTasks(jobId: String): Int = get(jobId)?.active?.values?.count {
+        it.phase == AttemptPhase.RUNNING || it.phase == AttemptPhase.SAVING
+    } ?: 0
+}
--- a/src/main/kotlin/io/otterknot/partition/MachineHealth.kt
+++ b/src/main/kotlin/io/otterknot/partition/MachineHealth.kt
@@ -3,65 +3,67 @@
 import io.otterknot.scheduling.Machine
 
 /**
- * Which machines of a partition do nothing any more and hold others up, so that they are to be given back: the cloud's
+ * Which machines of a partition do nothing any more and hold others up, so that they are to be released: the cloud's
  * answer settles sooner than a lease what became of their tasks.
  */
-class MachineHealth(
-    private val machines: () -> List<Machine>,
-    private val isKnown: (id: String) -> Boolean,
-    private val unreconciled: UnreconciledMachines,
-) {
-    /**
-     * Machines whose lease ended with tasks of jobs that are over on them: hung, they may hold them still, and go back.
-     */
-    private val withEndedJobs = HashSet<String>()
+class MachineHealth(private val machines: MachineBook, private val unreconciled: MachineSet) {
+    /** Machines whose lease expired with tasks of ended jobs on them: unresponsive, they may run them still. */
+    private val unresponsiveWithEndedJobs = HashSet<String>()
 
-    fun hangsWithEndedJobs(id: String) {
-        withEndedJobs.add(id)
+    fun markUnresponsiveWithEndedJobs(id: String) {
+        unresponsiveWithEndedJobs.add(id)
     }
 
     /** The machine reports again, or is gone. */
     fun forget(id: String) {
-        withEndedJobs.remove(id)
+        unresponsiveWithEndedJobs.remove(id)
     }
 
     /**
-     * Machines that have stopped reporting for [afterMs] while most others go on, and that hold tasks or doubts up.
-     * [claimedMs]: when the partition was claimed, as long as that leaves doubts; null: none is left.
+     * Machines that have not reported for [timeoutMs] while most others do, and that hold up tasks or the
+     * reconciliation. [acquiredMs]: when the partition was acquired, while that leaves tasks in doubt; null: none is.
      */
-    fun hung(now: Long, afterMs: Long, claimedMs: Long?): List<String> =
-        (withEndedJobs + quiet(now, afterMs, claimedMs)).toList()
+    fun unresponsive(now: Long, timeoutMs: Long, acquiredMs: Long?): List<String> =
+        (unresponsiveWithEndedJobs + silent(now, timeoutMs, acquiredMs)).toList()
+
+    private fun silent(now: Long, timeoutMs: Long, acquiredMs: Long?): List<String> {
+        val leased = machines.all.filter { !it.leaseExpired }
+        val silent = leased.filter { now - it.lastHeartbeatMs > timeoutMs }
+        if (!areOthersResponsive(leased, silent.size, now, timeoutMs)) return emptyList()
+        val blocking = silent.filter { it.attempts.isNotEmpty() || it.id in unreconciled }.map { it.id }
+        if (acquiredMs == null) return blocking
+        return blocking + neverReported(now - acquiredMs, timeoutMs, leased.size)
+    }
 
-    private fun quiet(now: Long, afterMs: Long, claimedMs: Long?): List<String> {
-        val talking = machines().filter { !it.leaseExpired }
-        val quiet = talking.filter { now - it.lastHeartbeatMs > afterMs }
-        if (talking.size < FEWEST_TALKING || quiet.size * 3 > talking.size) return emptyList()
-        val lively = talking.count { now - it.lastHeartbeatMs < afterMs / 2 }
-        if (lively * 2 < talking.size) return emptyList()
-        val holding = quiet.filter { it.attempts.isNotEmpty() || it.id in unreconciled }.map { it.id }
-        if (claimedMs == null) return holding
-        return holding + neverHeard(now - claimedMs, afterMs, talking.size)
+    /** Where many machines are silent, the fault is rather in the network or in this controller. */
+    private fun areOthersResponsive(leased: List<Machine>, silentCount: Int, now: Long, timeoutMs: Long): Boolean {
+        if (leased.size < MIN_LEASED_MACHINES || silentCount * 3 > leased.size) return false
+        val recentCount = leased.count { now - it.lastHeartbeatMs < timeoutMs / 2 }
+        return recentCount * 2 >= leased.size
     }
 
     /**
-     * Machines that have not reported since the claim while most have. In a large partition one or two are dead at any
-     * time, and they hold all its waiting tasks up: when so few are missing, nobody waits for them as long as for many.
+     * Machines that have not reported since the acquisition while most have. In a large partition one or two are dead
+     * at any time, and they hold up all its waiting tasks: when so few are missing, the wait for them is shorter.
      */
-    private fun neverHeard(sinceClaimMs: Long, afterMs: Long, talking: Int): Collection<String> {
-        if (unreconciled.size * 3 > talking) return emptyList()
-        val missing = unreconciled.filter { !isKnown(it) }.keys
-        val waitMs = if (missing.size * FEW_MISSING <= talking) afterMs * 2 / 3 else afterMs
-        return if (sinceClaimMs < waitMs) emptyList() else missing
+    private fun neverReported(sinceAcquisitionMs: Long, timeoutMs: Long, leasedCount: Int): Collection<String> {
+        if (unreconciled.size * 3 > leasedCount) return emptyList()
+        val missing = unreconciled.filter { machines[it] == null }.keys
+        val areFew = missing.size * MIN_LEASED_FOR_EACH_MISSING <= leasedCount
+        val waitMs = if (areFew) timeoutMs * 2 / 3 else timeoutMs
+        return if (sinceAcquisitionMs < waitMs) emptyList() else missing
     }
 
-    /** Machines whose reports arrive while answers to them are lost again and again. */
-    fun unreachable(): List<String> = machines().filter { it.lostResponses >= UNREACHABLE }.map { it.id }
+    /** Machines whose heartbeats arrive while the responses to them are lost again and again. */
+    fun losingResponses(): List<String> =
+        machines.all.filter { it.lostResponses >= MIN_LOST_RESPONSES_TO_RELEASE }.map { it.id }
 
     private companion object {
-        const val FEWEST_TALKING = 3
+        /** Among fewer machines nobody can say whether silence is the machine's fault. */
+        const val MIN_LEASED_MACHINES = 3
 
-        /** One in so many. */
-        const val FEW_MISSING = 50
-        const val UNREACHABLE = 5
+        /** Missing machines are few if there are at least so many that report for each of them. */
+        const val MIN_LEASED_FOR_EACH_MISSING = 50
+        const val MIN_LOST_RESPONSES_TO_RELEASE = 5
     }
 }
--- a/src/main/kotlin/io/otterknot/partition/NameIndex.kt
+++ b/src/main/kotlin/io/otterknot/partition/NameIndex.kt
@@ -2,14 +2,18 @@
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
-/** Names mapped to dense indices: what has a name, without gaps; the last one takes the place of one that leaves. */
+/** Items by name, and in a list without gaps: when one is removed, the last takes its place. */
 class NameIndex<T : Any>(private val nameOf: (T) -> String) {
-    private val slots = Object2IntOpenHashMap<String>().apply { defaultReturnValue(-1) }
+    private val slots = Object2IntOpenHashMap<String>().apply { defaultReturnValue(ABSENT) }
     private val items = ArrayList<T>()
     val all: List<T> get() = items
 
-    operator fun get(name: String): T? = slots.getInt(name).let { if (it < 0) null else items[it] }
+    operator fun get(name: String): T? {
+        val slot = slots.getInt(name)
+        return if (slot == ABSENT) null else items[slot]
+    }
 
+    /** Adds [item], whose name must not be in the index yet. */
     fun add(item: T) {
         slots.put(nameOf(item), items.size)
         items.add(item)
@@ -17,10 +21,14 @@
 
     fun remove(name: String) {
         val slot = slots.removeInt(name)
-        if (slot < 0) return
+        if (slot == ABSENT) return
         val last = items.removeAt(items.size - 1)
         if (slot == items.size) return
         items[slot] = last
         slots.put(nameOf(last), slot)
     }
+
+    private companion object {
+        const val ABSENT = -1
+    }
 }
--- a/src/main/kotlin/io/otterknot/partition/StragglerDetector.kt
+++ b/src/main/kotlin/io/otterknot/partition/StragglerDetector.kt
@@ -5,49 +5,63 @@
 import io.otterknot.scheduling.Machine
 import org.slf4j.LoggerFactory
 
-/** Finds machines that run their tasks far slower than others, and tasks that run far longer than their like. */
+/**
+ * Finds stragglers: tasks that run far longer than others of their job, and machines that run all their tasks far
+ * slower than others do. Such a machine is put in quarantine: it is drained and given back.
+ */
 class StragglerDetector(private val zone: String) {
     private val log = LoggerFactory.getLogger(StragglerDetector::class.java)
 
-    /** How long tasks that completed here ran, the recent ones counting most; null: none has yet. */
+    /** How long tasks that completed here ran, the recent ones counting most; null: none has completed yet. */
     var meanRunMs: Double? = null
         private set
 
     /** [attempt] has completed on [machine]. */
     fun completed(machine: Machine, attempt: Attempt, now: Long) {
         if (!attempt.seenRunning) return
-        val ms = now - attempt.phaseSinceMs
-        val ratio = attempt.job.runs.ratio(ms)
-        attempt.job.runs.add(ms)
-        meanRunMs = meanRunMs?.let { it + (ms - it) * MEAN_WEIGHT } ?: ms.toDouble()
-        if (ratio != null) noteSlowness(machine, ratio)
+        val runMs = now - attempt.phaseSinceMs
+        val ratio = attempt.job.runs.ratio(runMs)
+        attempt.job.runs.add(runMs)
+        meanRunMs = meanRunMs?.let { it + (runMs - it) * MEAN_WEIGHT } ?: runMs.toDouble()
+        if (ratio != null) recordSlowness(machine, ratio)
     }
 
     /**
-     * A task that runs far longer than its like is stopped and tried elsewhere, where its machine is known to be slow;
-     * otherwise once at most, since it may be the task that is long.
+     * Stops the stragglers on [machine], so that they are tried elsewhere: each task once at most, since it may be the
+     * task that is long, and sooner where the machine is known to be slow.
      */
     fun stopStragglers(machine: Machine, now: Long) {
         for (attempt in machine.attempts.values) {
-            if (attempt.phase != AttemptPhase.RUNNING || attempt.stopping || !attempt.seenRunning) continue
-            val job = attempt.job
-            val ratio = job.runs.ratio(now - attempt.phaseSinceMs) ?: continue
-            val limit = if (machine.slowness.slow) SLOW_MACHINE_RATIO else SINGLE_TASK_RATIO
-            val isEarly = now - attempt.phaseSinceMs < LEAST_RUN_MS
-            if (ratio < limit || isEarly || job.restarted.get(attempt.task)) continue
-            job.restarted.set(attempt.task)
-            machine.avoid(job, now)
-            log.debug("{}: {} on {} runs {} times as long as others", zone, attempt.name, machine.id, ratio)
+            val ratio = stragglerRatio(attempt, now) ?: continue
+            attempt.job.restarted.set(attempt.task)
+            machine.avoid(attempt.job, now)
+            log.debug(
+                "partition={} machine={} task={} ratio={} straggler stopped",
+                zone,
+                machine.id,
+                attempt.name,
+                ratio,
+            )
             attempt.requestStop()
-            noteSlowness(machine, ratio)
+            recordSlowness(machine, ratio)
         }
     }
 
-    private fun noteSlowness(machine: Machine, ratio: Double) {
+    /** How many times as long as others of its job a straggler has run; null: it is none, or was restarted before. */
+    private fun stragglerRatio(attempt: Attempt, now: Long): Double? {
+        if (attempt.phase != AttemptPhase.RUNNING || attempt.stopping || !attempt.seenRunning) return null
+        val runMs = now - attempt.phaseSinceMs
+        val ratio = attempt.job.runs.ratio(runMs) ?: return null
+        val minRatio = if (attempt.machine.slowness.slow) MIN_RATIO_ON_SLOW_MACHINE else MIN_RATIO
+        if (ratio < minRatio || runMs < MIN_RUN_MS) return null
+        return if (attempt.job.restarted.get(attempt.task)) null else ratio
+    }
+
+    private fun recordSlowness(machine: Machine, ratio: Double) {
         machine.slowness.add(ratio)
         if (!machine.slowness.slow || machine.draining) return
         log.info(
-            "{}: {} takes {} times as long as others for its tasks; it is emptied and returned",
+            "partition={} machine={} slowness={} machine quarantined, it is drained and released",
             zone,
             machine.id,
             machine.slowness,
@@ -56,9 +70,12 @@
     }
 
     private companion object {
-        const val SLOW_MACHINE_RATIO = 2.0
-        const val SINGLE_TASK_RATIO = 4.0
+        /** A task that runs so many times as long as others of its job is a straggler. */
+        const val MIN_RATIO = 4.0
+        const val MIN_RATIO_ON_SLOW_MACHINE = 2.0
+        const val MIN_RUN_MS = 20_000L
+
+        /** How much the latest run time counts in the mean. */
         const val MEAN_WEIGHT = 0.05
-        const val LEAST_RUN_MS = 20_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/partition/TeamQuotaLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/TeamQuotaLedger.kt
@@ -8,13 +8,12 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
 /**
- * What each team uses of its allotment in one partition. Teams are known by dense indices; -1 stands for a team that
- * the settings do not name. [unknown] is what machines may hold of which it is not known what is on them; null: not
- * known either, so nothing can be said to be left.
+ * What each team uses of its quota share in one partition. Teams have dense indices in the order of [teams];
+ * -1 stands for one that the settings do not name. All of [unknownUsage] counts as used by every team.
  */
-class TeamQuotaLedger(private val teams: List<TeamQuota>, private val unknown: () -> QuotaAmount?) {
+class TeamQuotaLedger(private val teams: List<TeamQuota>, private val unknownUsage: UnknownUsage) {
     private val indexByName = Object2IntOpenHashMap<String>().apply {
-        defaultReturnValue(-1)
+        defaultReturnValue(UNKNOWN_TEAM)
         teams.forEachIndexed { index, team -> put(team.name, index) }
     }
     private val usedCores = DoubleArray(teams.size)
@@ -25,88 +24,91 @@
 
     fun index(name: String): Int = indexByName.getInt(name)
 
-    /** What a team uses for its share: the lower, the sooner its jobs are served. */
+    /** Used cores by weight, for fair share: the lower, the sooner the team's jobs are served. */
     fun pressure(team: Int): Double = if (team < 0) 0.0 else usedCores[team] / teams[team].weight
 
     /** What the tasks of a team that are booked here take. */
     fun usage(team: Int): Resources =
         if (team < 0) Resources.NONE else Resources(usedCores[team], usedMemoryGb[team], usedCards[team])
 
-    fun book(team: Int, spec: JobSpec) = use(team, spec, 1)
+    fun book(team: Int, spec: JobSpec) = addUsage(team, spec, 1)
 
-    fun unbook(team: Int, spec: JobSpec) = use(team, spec, -1)
+    fun unbook(team: Int, spec: JobSpec) = addUsage(team, spec, -1)
 
-    private fun use(team: Int, spec: JobSpec, tasks: Int) {
+    private fun addUsage(team: Int, spec: JobSpec, tasks: Int) {
         if (team < 0) return
         usedCores[team] += spec.cores * tasks
         usedCards[team] += spec.cards * tasks
         usedMemoryGb[team] += spec.memoryGb * tasks
     }
 
-    /** Whether the team is known. */
-    fun allot(name: String, allotment: QuotaAmount): Boolean {
+    /** False: the settings do not name the team. */
+    fun setQuotaShare(name: String, quotaShare: QuotaAmount): Boolean {
         val team = index(name)
         if (team < 0) return false
-        teams[team].allotment = allotment
+        teams[team].quotaShare = quotaShare
         return true
     }
 
     /**
-     * What a team may still use. A machine that is not known yet, or that shows a task not booked here, may be full of
-     * its tasks, also of jobs that are over: until it is known what is there, all of that machine counts as used.
+     * What a team may still use, less than nothing if it uses too much. A machine that is not known yet, or that shows
+     * a task not booked here, may be full of its tasks, also of jobs that have ended.
      */
-    fun left(team: Int): QuotaAmount {
-        val left = teams[team].allotment - QuotaAmount(usedCores[team], usedCards[team])
-        return left - (unknown() ?: return QuotaAmount())
+    private fun remaining(team: Int): QuotaAmount {
+        val remaining = teams[team].quotaShare - QuotaAmount(usedCores[team], usedCards[team])
+        return remaining - (unknownUsage.total() ?: return QuotaAmount())
     }
 
     /** How many tasks like [spec] the team may start, at most [wanted]. */
     fun startable(team: Int, spec: JobSpec, wanted: Int): Int {
-        val left = left(team)
-        var count = wanted
-        if (spec.cores > 0) count = minOf(count.toDouble(), (left.cores + Machine.EPSILON) / spec.cores).toInt()
-        if (spec.cards > 0) count = minOf(count.toDouble(), (left.cards + Machine.EPSILON) / spec.cards).toInt()
-        return maxOf(0, count)
+        val remaining = remaining(team)
+        val byCores = atMost(wanted, remaining.cores, spec.cores)
+        return maxOf(0, atMost(byCores, remaining.cards, spec.cards))
     }
 
-    /** What the waiting tasks of a team need beyond the allotment; nothing while it lets one of each start. */
+    private fun atMost(count: Int, available: Double, forEach: Double): Int =
+        if (forEach > 0) minOf(count.toDouble(), (available + Machine.EPSILON) / forEach).toInt() else count
+
+    /** What the waiting tasks of a team need beyond the quota share; nothing while it lets one of each job start. */
     fun need(name: String, jobs: List<PartitionJob>): QuotaAmount {
         val team = index(name)
         if (team < 0) return QuotaAmount()
-        val left = left(team)
+        val remaining = remaining(team)
         val waiting = waiting(team, jobs)
-        if (waiting.all { left.covers(it.spec) }) return QuotaAmount()
-        return (needed(waiting) - left).atLeastZero()
+        if (waiting.all { remaining.covers(it.spec) }) return QuotaAmount()
+        return (needed(waiting) - remaining).atLeastZero()
     }
 
     /**
-     * What can be given of a team's allotment: what nothing here waits for, or, if [toEarlierZone], what is too little
-     * for any task here; only in one direction, or two partitions would hold each half of what a task needs.
+     * What can be given away of a team's quota share: what nothing here waits for, or, with [toEarlierZone], what is
+     * too little for any task here; only in one direction, or two partitions would hold half each of what a task needs.
      */
     fun spare(name: String, jobs: List<PartitionJob>, toEarlierZone: Boolean): QuotaAmount {
         val team = index(name)
         if (team < 0) return QuotaAmount()
-        val left = left(team)
+        val remaining = remaining(team)
         val waiting = waiting(team, jobs)
-        val isUseless = toEarlierZone && waiting.isNotEmpty() && waiting.none { left.covers(it.spec) }
-        return (if (isUseless) left else left - needed(waiting)).atLeastZero()
+        val isUseless = toEarlierZone && waiting.isNotEmpty() && waiting.none { remaining.covers(it.spec) }
+        return (if (isUseless) remaining else remaining - needed(waiting)).atLeastZero()
     }
 
-    /** The sum over the teams of what [coresOf] says, each no more than its allotment. */
-    fun sumWithinAllotments(coresOf: (team: Int) -> Double): Double =
-        teams.indices.sumOf { minOf(coresOf(it), teams[it].allotment.cores) }
+    /** The sum over the teams of [coresOf], for each at most the cores of its quota share. */
+    fun sumWithinQuotaShares(coresOf: (team: Int) -> Double): Double =
+        teams.indices.sumOf { minOf(coresOf(it), teams[it].quotaShare.cores) }
 
     private fun waiting(team: Int, jobs: List<PartitionJob>) = jobs.filter { it.team == team && !it.pending.isEmpty }
 
     private fun needed(waiting: List<PartitionJob>) = QuotaAmount(
-        waiting.sumOf {
-            it.pendingCount * it.spec.cores
-        },
-        waiting.sumOf { it.pendingCount * it.spec.cards },
+        cores = waiting.sumOf { it.pendingCount * it.spec.cores },
+        cards = waiting.sumOf { it.pendingCount * it.spec.cards },
     )
 
     private fun QuotaAmount.covers(spec: JobSpec) =
         spec.cores <= cores + Machine.EPSILON && spec.cards <= cards + Machine.EPSILON
 
     private fun QuotaAmount.atLeastZero() = QuotaAmount(maxOf(0.0, cores), maxOf(0.0, cards))
+
+    private companion object {
+        const val UNKNOWN_TEAM = -1
+    }
 }
--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -1,11 +1,7 @@
 package io.otterknot.jobs
 
-import io.otterknot.partition.LeaseTimings
-import io.otterknot.partition.Partition
-import io.otterknot.partition.TeamQuota
 import io.otterknot.records.CompletionSegmentRecord
 import io.otterknot.records.JobRecord
-import io.otterknot.records.QuotaAmount
 import io.otterknot.records.StoreKeys
 import io.otterknot.records.TaskSpan
 import io.otterknot.records.TerminalState
@@ -16,6 +12,8 @@
 import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.store.ReplicaEntry
 import io.otterknot.store.WriteLimits
+import io.otterknot.testing.testPartition
+import io.otterknot.testing.unlimitedTeam
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.KeyChange
 import io.otterknot.wire.MachineType
@@ -209,10 +207,14 @@
         assertEquals(Priority.BEST_EFFORT to null, lent(1))
     }
 
-    private fun partition(aims: ServiceLevelObjectives = ServiceLevelObjectives(emptyMap())) = Partition(
-        "a", 7, 0, 0, LeaseTimings(10_000), Random(1), aims, { it }, { MachineType("big", 8.0, 0.0, 64.0) },
-        listOf(TeamQuota("red", 1.0, QuotaAmount(1e9, 0.0))), emptyMap(),
-    )
+    private fun partition(
+        aims: ServiceLevelObjectives = ServiceLevelObjectives(emptyMap()),
+        registeredMachines: Map<String, String> = emptyMap(),
+    ) = testPartition(
+        listOf(unlimitedTeam("red")),
+        objectives = aims,
+        registeredMachines = registeredMachines,
+    ) { MachineType("big", 8.0, 0.0, 64.0) }
 
     @Test
     fun `a partition takes up nothing of a job before it is ready, and drops it when it is cancelled with another`() {
@@ -235,12 +237,7 @@
     /** Taken over, a job that was ready before the claim may run somewhere; one that became so afterwards can't. */
     @Test
     fun `a job that becomes ready after a claim is in no doubt, one that was before is`() {
-        val partition = Partition(
-            "a", 7, 0, 0, LeaseTimings(10_000), Random(1), ServiceLevelObjectives(emptyMap()), {
-                it
-            }, { MachineType("big", 8.0, 0.0, 64.0) },
-            listOf(TeamQuota("red", 1.0, QuotaAmount(1e9, 0.0))), mapOf("m1" to "big"),
-        )
+        val partition = partition(registeredMachines = mapOf("m1" to "big"))
         submit(1)
         end(1)
         submit(2, 1)
--- a/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
@@ -5,8 +5,9 @@
 import io.otterknot.records.QuotaAmount
 import io.otterknot.records.TaskSpan
 import io.otterknot.records.TerminalState
-import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.testing.applyRecord
+import io.otterknot.testing.testPartition
+import io.otterknot.testing.unlimitedTeam
 import io.otterknot.wire.CommandOperation
 import io.otterknot.wire.ExitCause
 import io.otterknot.wire.Heartbeat
@@ -23,7 +24,6 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
-import kotlin.random.Random
 
 /** One owner's decisions on the reports of its machines. */
 class PartitionTest {
@@ -33,15 +33,11 @@
     private var typesAsked = 0
 
     private fun partition(registered: List<String> = emptyList(), limit: Double = 1e9, othersUntil: Long = 0) =
-        Partition(
-            "a", 7, 0, othersUntil, LeaseTimings(10_000), Random(1), ServiceLevelObjectives(emptyMap()), {
-                it
-            }, { type.also { typesAsked++ } },
-            listOf(TeamQuota("red", 1.0, QuotaAmount(limit, 0.0)), TeamQuota("blue", 1.0, QuotaAmount(1e9, 0.0))),
-            registered.associateWith {
-                "big"
-            },
-        )
+        testPartition(
+            listOf(TeamQuota("red", 1.0, QuotaAmount(limit, 0.0)), unlimitedTeam("blue")),
+            priorLeaderUntilMs = othersUntil,
+            registeredMachines = registered.associateWith { "big" },
+        ) { type.also { typesAsked++ } }
 
     private fun job(
         id: Int,
@@ -66,7 +62,7 @@
         session: Long = 1,
         seq: Long? = null,
         noticeS: Double? = null,
-    ): HeartbeatDecision = handleHeartbeat(
+    ): HeartbeatDecision = applyHeartbeat(
         Heartbeat(
             machine, "", "big", "a", false, session,
             seq ?: seqs.merge(
@@ -454,7 +450,7 @@
         }
         assertTrue(tries <= 7, "$tries")
         assertTrue("deaf" in partition.machinesLosingResponses())
-        partition.sweep(12_100, slow = true)
+        partition.sweep(12_100, isLeaderSlow = true)
         assertEquals(
             emptyList<String>(),
             partition.machinesLosingResponses(),
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
@@ -5,17 +5,15 @@
 import io.otterknot.config.TeamSettings
 import io.otterknot.jobs.Job
 import io.otterknot.partition.HeartbeatDecision
-import io.otterknot.partition.LeaseTimings
 import io.otterknot.partition.Partition
-import io.otterknot.partition.TeamQuota
 import io.otterknot.records.JobRecord
-import io.otterknot.records.QuotaAmount
 import io.otterknot.records.TaskSpan
 import io.otterknot.records.TerminalState
 import io.otterknot.scheduling.PartitionView
-import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.testing.applyRecord
 import io.otterknot.testing.smallJob
+import io.otterknot.testing.testPartition
+import io.otterknot.testing.unlimitedTeam
 import io.otterknot.wire.CommandOperation
 import io.otterknot.wire.ExitCause
 import io.otterknot.wire.Heartbeat
@@ -39,10 +37,7 @@
     private val seqs = HashMap<String, Long>()
     private val partition = newPartition()
 
-    private fun newPartition() = Partition(
-        "a", 7, 0, 0, LeaseTimings(10_000), Random(1), ServiceLevelObjectives(emptyMap()), { it }, { type },
-        teams.map { TeamQuota(it.name, it.cpus, QuotaAmount(1e9, 0.0)) }, emptyMap(),
-    )
+    private fun newPartition() = testPartition(teams.map { unlimitedTeam(it.name, weight = it.cpus) }) { type }
 
     private fun job(id: Int, tasks: Int, team: String, priority: Priority = Priority.HIGH, checkpointS: Double = 0.0) =
         Job("j-%06d".format(id)).also {
@@ -61,7 +56,7 @@
     ): List<HeartbeatCommand> {
         val seq = seqs.merge(machine, 1, Long::plus)!!
         val report = Heartbeat(machine, "", "big", "a", false, 1, seq, fencingToken, noticeS, tasks.toList())
-        return (handleHeartbeat(report, now) as HeartbeatDecision.Answer).commands
+        return (applyHeartbeat(report, now) as HeartbeatDecision.Answer).commands
     }
 
     private fun HeartbeatCommand.shown(state: TaskState = TaskState.RUNNING, cause: ExitCause? = null) =
@@ -239,7 +234,7 @@
         assertEquals(MoveState.STOPPED, move.state)
         assertTrue(after.none { it.op == CommandOperation.START }, "a machine under a notice takes nothing")
         val late = Heartbeat("m1", "", "big", "a", false, 1, 2, 7, null, listOf(first.shown()))
-        assertEquals(HeartbeatDecision.Stale, partition.handleHeartbeat(late, 4_500))
+        assertEquals(HeartbeatDecision.Stale, partition.applyHeartbeat(late, 4_500))
         assertTrue(!partition.machine("m1")!!.attempts.containsKey(first.attempt))
     }
 
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -28,7 +28,6 @@
 import io.otterknot.jobs.Job
 import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.metrics.Metrics
-import io.otterknot.partition.LeaseTimings
 import io.otterknot.partition.Partition
 import io.otterknot.partition.TeamQuota
 import io.otterknot.peer.PeerCodec
@@ -45,7 +44,6 @@
 import io.otterknot.rebalance.RefusalReason
 import io.otterknot.rebalance.WaitCause
 import io.otterknot.scheduling.PartitionView
-import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.store.CompareAndSwap
 import io.otterknot.store.KeyValueStoreClient
 import io.otterknot.store.Snapshot
@@ -53,6 +51,7 @@
 import io.otterknot.testing.StoreFixture
 import io.otterknot.testing.applyRecord
 import io.otterknot.testing.jobChange
+import io.otterknot.testing.testPartition
 import io.otterknot.wire.ExitCause
 import io.otterknot.wire.Heartbeat
 import io.otterknot.wire.HeartbeatCommand
@@ -474,10 +473,7 @@
         /** Acts as the owner of [zone] does once it has read everything that was written before its claim. */
         fun takeUp(zone: String, token: Long) {
             val teams = listOf(TeamQuota("vision", 1.0, QuotaAmount(90.0, 0.0)))
-            partitions[zone] = Partition(
-                zone, token, 0, 0, LeaseTimings(10_000), Random(1), ServiceLevelObjectives(emptyMap()), { it },
-                { types?.first() }, teams, emptyMap(),
-            )
+            partitions[zone] = testPartition(teams, zone, token) { types?.first() }
         }
     }
 
--- a/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
@@ -64,7 +64,7 @@
     @CsvSource("10,4096", "6000,48000")
     fun `how many machines that were let go are remembered grows with the partition`(machines: Int, kept: Int) {
         val lastSeen = HeartbeatHistory { machines }
-        repeat(50_000) { lastSeen.gone("m$it") }
+        repeat(50_000) { lastSeen.recordGone("m$it") }
         assertEquals(kept, lastSeen.size)
     }
 
--- a/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
+++ b/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
@@ -4,12 +4,11 @@
 import io.otterknot.http.Transport
 import io.otterknot.leadership.FencedTransactions
 import io.otterknot.leadership.PartitionLeadership
-import io.otterknot.partition.LeaseTimings
 import io.otterknot.partition.Partition
 import io.otterknot.records.StoreKeys
-import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.testing.FakeKeyValueStore
 import io.otterknot.testing.StoreFixture
+import io.otterknot.testing.testPartition
 import io.otterknot.wire.KeyChange
 import io.otterknot.wire.VersionCondition
 import kotlinx.coroutines.ExperimentalCoroutinesApi
@@ -119,11 +118,7 @@
         bench.replica.awaitLoaded()
         while (ownership.token("a") == null) kotlinx.coroutines.delay(50)
         val token = ownership.token("a")!!
-        val partition = Partition(
-            "a", token, 0, 0, LeaseTimings(10_000), Random(1), ServiceLevelObjectives(emptyMap()), {
-                it
-            }, { null }, emptyList(), emptyMap(),
-        )
+        val partition = testPartition(emptyList(), fencingToken = token) { null }
         partitions["a"] = partition
         val txn =
             FencedTransactions(bench.client, bench.replica, ownership, partitions, WriteLimits(8_192, 40), Random(1))
--- /dev/null
+++ b/src/test/kotlin/io/otterknot/testing/TestPartitions.kt
@@ -0,0 +1,35 @@
+package io.otterknot.testing
+
+import io.otterknot.partition.LeadershipTerm
+import io.otterknot.partition.LeaseTimings
+import io.otterknot.partition.Partition
+import io.otterknot.partition.SchedulingInputs
+import io.otterknot.partition.TeamQuota
+import io.otterknot.records.QuotaAmount
+import io.otterknot.scheduling.ServiceLevelObjectives
+import io.otterknot.wire.MachineType
+import kotlin.random.Random
+
+/** A team that may use all there is. */
+fun unlimitedTeam(name: String, weight: Double = 1.0) = TeamQuota(name, weight, QuotaAmount(1e9, 0.0))
+
+/**
+ * A partition acquired at 0 ms with workers' leases of ten seconds, whose steady clock is the time of day too.
+ * [registeredMachines]: by id with the names of their types.
+ */
+fun testPartition(
+    teamQuotas: List<TeamQuota>,
+    zone: String = "a",
+    fencingToken: Long = 7,
+    priorLeaderUntilMs: Long = 0,
+    objectives: ServiceLevelObjectives = ServiceLevelObjectives(emptyMap()),
+    registeredMachines: Map<String, String> = emptyMap(),
+    machineTypes: (name: String) -> MachineType?,
+) = Partition(
+    LeadershipTerm(zone, fencingToken, acquiredMs = 0, priorLeaderUntilMs),
+    LeaseTimings(leaseMs = 10_000),
+    SchedulingInputs(objectives, Random(1), wallTimeOf = { it }),
+    machineTypes,
+    teamQuotas,
+    registeredMachines,
+)
