--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -24,7 +24,7 @@
 import io.otterknot.partition.TeamQuota
 import io.otterknot.peer.IdlePartitionAnnouncer
 import io.otterknot.peer.IdlePartitions
-import io.otterknot.peer.PEER_ANSWER_MS
+import io.otterknot.peer.PEER_RESPONSE_TIMEOUT_MS
 import io.otterknot.peer.PeerMessage
 import io.otterknot.peer.PeerRelay
 import io.otterknot.peer.PeerTransport
@@ -186,7 +186,7 @@
         backgroundTask("handover") { handover.balance() }
         backgroundTask("load spread") { loadSpread.run() }
         backgroundTask("allotments") { allotments.share() }
-        backgroundTask("announcements") { announcer.announce() }
+        backgroundTask("announcements") { announcer.announceContinuously() }
         backgroundTask("work") { seekWork() }
         backgroundTask("sweep") {
             var slowUntilMs = Long.MIN_VALUE
@@ -218,13 +218,13 @@
     }
 
     suspend fun peer(message: PeerMessage): PeerMessage {
-        if (message is PeerMessage.Carry) return carry(message)
-        if (message is PeerMessage.Yield &&
+        if (message is PeerMessage.RelayRequest) return carry(message)
+        if (message is PeerMessage.TransferLeadership &&
             partitions[message.zone]?.mayTransferLeadership(nowMs()) == true
         ) {
-            ownership.transferLeadership(message.zone, message.owned)
+            ownership.transferLeadership(message.zone, message.ledPartitions)
         }
-        return idlePartitions.take(message, nowMs())
+        return idlePartitions.respondTo(message, nowMs())
     }
 
     /** A node that owns nothing while another has several partitions asks for one, some time after it came up. */
@@ -232,15 +232,17 @@
         while (true) {
             delay(SEEK_MS + random.nextLong(SEEK_MS))
             val (zone, owner) = ownership.wanted() ?: continue
-            links.peers[owner]?.ask(PeerMessage.Yield(zone, ownership.ledPartitionCount), PEER_ANSWER_MS)
+            val message = PeerMessage.TransferLeadership(zone, ownership.ledPartitionCount)
+            links.peers[owner]?.call(message, PEER_RESPONSE_TIMEOUT_MS)
         }
     }
 
     /** Asks the state service for another controller, which has taken the request out of its own share. */
-    private suspend fun carry(message: PeerMessage.Carry): PeerMessage {
-        if (!contact.isAnswering) return NOT_CARRIED
+    private suspend fun carry(message: PeerMessage.RelayRequest): PeerMessage {
+        if (!contact.isAnswering) return PeerMessage.RelayResponse.UNANSWERED
         val reply = links.state.call(message.method, message.target, message.body, message.timeoutMs.toLong())
-        return if (reply is Reply.Answer) PeerMessage.Carried(reply.status, reply.body) else NOT_CARRIED
+        if (reply !is Reply.Answer) return PeerMessage.RelayResponse.UNANSWERED
+        return PeerMessage.RelayResponse(reply.status, reply.body)
     }
 
     /**
@@ -315,8 +317,6 @@
     }
 
     private companion object {
-        val NOT_CARRIED = PeerMessage.Carried(0, ByteArray(0))
-
         /** What all nodes together use of a limit; the rest is left for clocks that differ. */
         const val SHARE = 0.92
         const val EVEN_REQUESTS = 0.7
--- a/src/main/kotlin/io/otterknot/peer/IdlePartitionAnnouncer.kt
+++ b/src/main/kotlin/io/otterknot/peer/IdlePartitionAnnouncer.kt
@@ -5,66 +5,100 @@
 import kotlin.random.Random
 
 /**
- * Announces this node's partitions with idle machines, and withdraws them once none is idle (DESIGN; Saqr, section
- * 3.2).
+ * Announces the idle machines of the partitions that this controller leads, each partition to one controller, and
+ * withdraws the announcement once no machine is idle (DESIGN; Saqr, section 3.2). That controller prefers the partition
+ * for new jobs, see [IdlePartitions].
  */
 class IdlePartitionAnnouncer(
     private val label: String,
-    private val own: IdlePartitions,
+    private val announcedHere: IdlePartitions,
     private val peers: Map<String, PeerTransport>,
     private val partitions: Map<String, Partition>,
     private val nowMs: () -> Long,
     private val random: Random,
 ) {
-    private class Announced(val to: String, val token: Long, var idle: Int, var atMs: Long)
+    /** What the controller [recipient] was told last, at [sentMs]. */
+    private class Announcement(val recipient: String, val fencingToken: Long, var idleMachines: Int, var sentMs: Long)
 
-    private val announced = HashMap<String, Announced>()
+    private val announcementsByZone = HashMap<String, Announcement>()
 
-    suspend fun announce() {
+    /** Announces what changed, until cancelled. */
+    suspend fun announceContinuously() {
         while (true) {
-            delay(EVERY_MS + random.nextLong(200))
-            own.expire(nowMs())
-            for (zone in announced.keys - partitions.keys) announced.remove(zone)
-            for (partition in partitions.values.toList()) consider(partition)
+            delay(INTERVAL_MS + random.nextLong(INTERVAL_JITTER_MS))
+            announcedHere.removeExpired(nowMs())
+            for (zone in announcementsByZone.keys - partitions.keys) announcementsByZone.remove(zone)
+            for (partition in partitions.values.toList()) update(partition)
         }
     }
 
-    private suspend fun consider(partition: Partition) {
-        val idle = partition.machines.count { it.idle && it.acceptsTasks }
+    private suspend fun update(partition: Partition) {
+        val idleMachines = partition.machines.count { it.idle && it.acceptsTasks }
         val now = nowMs()
-        val known = announced[partition.zone]?.takeIf { it.token == partition.fencingToken }
-        if (idle == 0) {
-            if (known != null &&
-                tell(known.to, PeerMessage.Withdraw(partition.zone, partition.fencingToken)) != null
-            ) {
-                announced.remove(partition.zone)
-            }
-            return
+        val announcement = announcementsByZone[partition.zone]?.takeIf { it.fencingToken == partition.fencingToken }
+        when {
+            idleMachines == 0 -> if (announcement != null) withdraw(partition, announcement)
+            announcement == null -> announceFirst(partition, idleMachines, now)
+            isDue(announcement, idleMachines, now) -> renew(partition, announcement, idleMachines, now)
         }
-        if (known != null) {
-            // Telling the number as it falls keeps a burst from flooding the partition until it is withdrawn.
-            if (known.idle == idle && now - known.atMs < RENEW_MS) return
-            if (tell(known.to, PeerMessage.Announce(partition.zone, partition.fencingToken, idle)) == null) {
-                announced.remove(partition.zone)
-            } else {
-                known.idle = idle
-                known.atMs = now
-            }
+    }
+
+    /** A withdrawal that got no answer is repeated the next time. */
+    private suspend fun withdraw(partition: Partition, announcement: Announcement) {
+        val message = PeerMessage.IdleAnnouncementWithdrawn(partition.zone, partition.fencingToken)
+        if (send(announcement.recipient, message) != null) announcementsByZone.remove(partition.zone)
+    }
+
+    /** Each change of the number is announced: else a burst of jobs would flood the partition until the withdrawal. */
+    private fun isDue(announcement: Announcement, idleMachines: Int, now: Long): Boolean =
+        announcement.idleMachines != idleMachines || now - announcement.sentMs >= RENEWAL_MS
+
+    /** If the recipient does not answer, the next round chooses another. */
+    private suspend fun renew(partition: Partition, announcement: Announcement, idleMachines: Int, now: Long) {
+        val message = PeerMessage.IdlePartitionAnnouncement(partition.zone, partition.fencingToken, idleMachines)
+        if (send(announcement.recipient, message) == null) {
+            announcementsByZone.remove(partition.zone)
             return
         }
-        val listener = chooseListener(peers.keys.toList() + label, random) { tell(it, PeerMessage.Ask) } ?: return
-        if (tell(listener, PeerMessage.Announce(partition.zone, partition.fencingToken, idle)) != null) {
-            announced[partition.zone] = Announced(listener, partition.fencingToken, idle, now)
+        announcement.idleMachines = idleMachines
+        announcement.sentMs = now
+    }
+
+    private suspend fun announceFirst(partition: Partition, idleMachines: Int, now: Long) {
+        val recipient = chooseRecipient() ?: return
+        val message = PeerMessage.IdlePartitionAnnouncement(partition.zone, partition.fencingToken, idleMachines)
+        if (send(recipient, message) == null) return
+        announcementsByZone[partition.zone] = Announcement(recipient, partition.fencingToken, idleMachines, now)
+    }
+
+    /**
+     * Of two random controllers, this one included, the one that knows of fewer idle partitions (the power of two
+     * choices); null: neither answers.
+     */
+    private suspend fun chooseRecipient(): String? {
+        val candidates = (peers.keys.toList() + label).shuffled(random).take(CANDIDATES)
+        val knownPartitions = candidates.mapNotNull { candidate ->
+            send(candidate, PeerMessage.IdlePartitionQuery)?.let { candidate to it }
         }
+        return knownPartitions.minByOrNull { it.second }?.first
     }
 
-    private suspend fun tell(node: String, message: PeerMessage): Int? {
-        val answer = if (node == label) own.take(message, nowMs()) else peers[node]?.ask(message, PEER_ANSWER_MS)
-        return (answer as? PeerMessage.Known)?.partitions
+    /** How many idle partitions [controller] then knows of; null: it did not answer. */
+    private suspend fun send(controller: String, message: PeerMessage): Int? {
+        val answer = if (controller == label) {
+            announcedHere.respondTo(message, nowMs())
+        } else {
+            peers[controller]?.call(message, PEER_RESPONSE_TIMEOUT_MS)
+        }
+        return (answer as? PeerMessage.IdlePartitionCount)?.partitions
     }
 
     private companion object {
-        const val EVERY_MS = 500L
-        const val RENEW_MS = 2_500L
+        const val INTERVAL_MS = 500L
+        const val INTERVAL_JITTER_MS = 200L
+
+        /** An announcement that stays the same is repeated after this long. */
+        const val RENEWAL_MS = 2_500L
+        const val CANDIDATES = 2
     }
 }
--- a/src/main/kotlin/io/otterknot/peer/IdlePartitions.kt
+++ b/src/main/kotlin/io/otterknot/peer/IdlePartitions.kt
@@ -1,52 +1,55 @@
 package io.otterknot.peer
 
 import io.otterknot.scheduling.PartitionView
-import kotlin.random.Random
 
-/** The partitions with idle machines that this node has been told of. */
-class IdlePartitions(private val views: Map<String, PartitionView>, private val sound: () -> Boolean) {
-    private class Told(val token: Long, val untilMs: Long)
+/**
+ * The partitions with idle machines that were announced to this controller. Keeps [PartitionView.idleMachines] of
+ * [views] (by zone) up to date, by which new jobs are given to partitions. Used on the controller's one thread only.
+ */
+class IdlePartitions(private val views: Map<String, PartitionView>, private val isStoreReachable: () -> Boolean) {
+    private class Announcement(val fencingToken: Long, val expiresMs: Long)
 
-    private val told = HashMap<String, Told>()
+    private val announcementsByZone = HashMap<String, Announcement>()
 
-    fun take(message: PeerMessage, nowMs: Long): PeerMessage.Known {
-        expire(nowMs)
+    /** Applies an announcement or a withdrawal; other messages change nothing. Each gets the same kind of answer. */
+    fun respondTo(message: PeerMessage, nowMs: Long): PeerMessage.IdlePartitionCount {
+        removeExpired(nowMs)
         when (message) {
-            is PeerMessage.Announce -> {
-                val view = views[message.zone]
-                // A late announcement of an owner that has been replaced says nothing.
-                if (view != null && message.token >= (told[message.zone]?.token ?: 0)) {
-                    told[message.zone] = Told(message.token, nowMs + KEEP_MS)
-                    view.idleMachines = message.idle
-                }
-            }
-
-            is PeerMessage.Withdraw -> {
-                if (message.token >= (told[message.zone]?.token ?: 0)) {
-                    told.remove(message.zone)
-                    views[message.zone]?.idleMachines = 0
-                }
-            }
-
+            is PeerMessage.IdlePartitionAnnouncement -> add(message, nowMs)
+            is PeerMessage.IdleAnnouncementWithdrawn -> remove(message)
             else -> Unit
         }
-        return PeerMessage.Known(told.size, sound())
+        return PeerMessage.IdlePartitionCount(announcementsByZone.size, isStoreReachable())
     }
 
-    /** An announcement that is not renewed ends: its sender may have crashed before it could withdraw. */
-    fun expire(nowMs: Long) {
-        told.entries.removeIf { (zone, announced) ->
-            (announced.untilMs < nowMs).also { if (it) views[zone]?.idleMachines = 0 }
+    /** Removes announcements that were not renewed: their senders may have crashed before they could withdraw them. */
+    fun removeExpired(nowMs: Long) {
+        announcementsByZone.entries.removeIf { (zone, announcement) ->
+            val isExpired = announcement.expiresMs < nowMs
+            if (isExpired) views[zone]?.idleMachines = 0
+            isExpired
         }
     }
 
-    private companion object {
-        const val KEEP_MS = 6_000L
+    private fun add(message: PeerMessage.IdlePartitionAnnouncement, nowMs: Long) {
+        val view = views[message.zone] ?: return
+        if (isFromEarlierLeader(message.zone, message.fencingToken)) return
+        announcementsByZone[message.zone] = Announcement(message.fencingToken, nowMs + EXPIRY_MS)
+        view.idleMachines = message.idleMachines
     }
-}
 
-/** To whom a partition is announced: of two random controllers the one that knows fewer idle partitions. */
-suspend fun chooseListener(nodes: List<String>, random: Random, known: suspend (String) -> Int?): String? {
-    val two = nodes.shuffled(random).take(2)
-    return two.mapNotNull { node -> known(node)?.let { node to it } }.minByOrNull { it.second }?.first
+    private fun remove(message: PeerMessage.IdleAnnouncementWithdrawn) {
+        if (isFromEarlierLeader(message.zone, message.fencingToken)) return
+        announcementsByZone.remove(message.zone)
+        views[message.zone]?.idleMachines = 0
+    }
+
+    /** Whether a message that came late is of a leader who has been replaced since. */
+    private fun isFromEarlierLeader(zone: String, fencingToken: Long): Boolean =
+        fencingToken < (announcementsByZone[zone]?.fencingToken ?: 0)
+
+    private companion object {
+        /** More than twice the time after which an announcement is renewed, so that one lost message ends none. */
+        const val EXPIRY_MS = 6_000L
+    }
 }
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/peer/PeerClient.kt
@@ -0,0 +1,42 @@
+package io.otterknot.peer
+
+import io.otterknot.net.HostPort
+import io.otterknot.net.EventLoop
+import io.otterknot.net.TcpConnection
+import kotlinx.coroutines.CancellationException
+import kotlinx.coroutines.TimeoutCancellationException
+import kotlinx.coroutines.withTimeout
+
+/**
+ * Calls the controller at [address], over one connection that is reused. A connection carries one call at a time: a
+ * call that finds it in use opens another. After a call that got no answer its connection is closed, since a late
+ * answer would be taken for that of the next call.
+ */
+class PeerClient(private val loop: EventLoop, private val address: HostPort) : PeerTransport {
+    private var idleConnection: TcpConnection? = null
+
+    @Suppress("TooGenericExceptionCaught") // An address that does not resolve is an unchecked exception.
+    override suspend fun call(message: PeerMessage, timeoutMs: Long): PeerMessage? {
+        val reused = idleConnection
+        idleConnection = null
+        var connection: TcpConnection? = reused
+        var isAnswered = false
+        try {
+            return withTimeout(timeoutMs) {
+                val open = reused?.takeIf { it.isReusable } ?: TcpConnection.open(loop, address)
+                if (open !== reused) reused?.close()
+                connection = open
+                open.sendMessage(message)
+                open.receiveMessage().also { isAnswered = true }
+            }
+        } catch (_: TimeoutCancellationException) {
+            return null
+        } catch (e: CancellationException) {
+            throw e
+        } catch (_: Exception) { // For callers a controller that cannot be reached is one that does not answer.
+            return null
+        } finally {
+            if (isAnswered) idleConnection = connection else connection?.close()
+        }
+    }
+}
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -227,10 +227,10 @@
 
     /** What a message says; some have no equality of their own. */
     private fun fields(message: PeerMessage): List<Any?> = when (message) {
-        is PeerMessage.Carry ->
+        is PeerMessage.RelayRequest ->
             listOf("carry", message.method, message.target, message.body?.decodeToString(), message.timeoutMs)
 
-        is PeerMessage.Carried -> listOf("carried", message.status, message.body.decodeToString())
+        is PeerMessage.RelayResponse -> listOf("carried", message.status, message.body.decodeToString())
 
         else -> listOf(message)
     }
@@ -1284,28 +1284,36 @@
 
         @JvmStatic
         fun frames(): List<Frame> = listOf(
-            Frame("ask", PeerMessage.Ask, "0000000101"),
-            Frame("announce", PeerMessage.Announce("a", 7, 3), "0000001002000161000000000000000700000003"),
-            Frame("withdraw", PeerMessage.Withdraw("ł", 258), "0000000d030002c5820000000000000102"),
-            Frame("known", PeerMessage.Known(2, true), "00000006040000000201"),
-            Frame("known, not sound", PeerMessage.Known(0, false), "00000006040000000000"),
+            Frame("ask", PeerMessage.IdlePartitionQuery, "0000000101"),
+            Frame(
+                "announce",
+                PeerMessage.IdlePartitionAnnouncement("a", 7, 3),
+                "0000001002000161000000000000000700000003",
+            ),
+            Frame("withdraw", PeerMessage.IdleAnnouncementWithdrawn("ł", 258), "0000000d030002c5820000000000000102"),
+            Frame("known", PeerMessage.IdlePartitionCount(2, true), "00000006040000000201"),
+            Frame("known, not sound", PeerMessage.IdlePartitionCount(0, false), "00000006040000000000"),
             Frame(
                 "carry",
-                PeerMessage.Carry("POST", "/txn", "{}".encodeToByteArray(), 2_500),
+                PeerMessage.RelayRequest("POST", "/txn", "{}".encodeToByteArray(), 2_500),
                 "00000017" + "05" + "0004504f5354" + "00042f74786e" + "000009c4" + "00000002" + "7b7d",
             ),
             Frame(
                 "carry without a body",
-                PeerMessage.Carry("GET", "/s", null, 1),
+                PeerMessage.RelayRequest("GET", "/s", null, 1),
                 "00000012" + "05" + "0003474554" + "00022f73" + "00000001" + "ffffffff",
             ),
             Frame(
                 "carried",
-                PeerMessage.Carried(409, "[]".encodeToByteArray()),
+                PeerMessage.RelayResponse(409, "[]".encodeToByteArray()),
                 "0000000b" + "06" + "00000199" + "00000002" + "5b5d",
             ),
-            Frame("carried in vain", PeerMessage.Carried(0, ByteArray(0)), "00000009" + "06" + "00000000" + "00000000"),
-            Frame("yield", PeerMessage.Yield("a", 2), "000000080700016100000002"),
+            Frame(
+                "carried in vain",
+                PeerMessage.RelayResponse(0, ByteArray(0)),
+                "00000009" + "06" + "00000000" + "00000000",
+            ),
+            Frame("yield", PeerMessage.TransferLeadership("a", 2), "000000080700016100000002"),
             Frame("unknown", PeerMessage.Unknown(9), "0000000109"),
         )
 
--- a/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
@@ -144,11 +144,11 @@
     fun `frames of controllers are production's, byte for byte`() {
         fun hex(bytes: ByteArray) = bytes.joinToString("") { "%02x".format(it) }
         for ((message, frame) in listOf(
-            PeerMessage.Ask to "0000000101",
-            PeerMessage.Announce("a", 7, 3) to "0000001002000161000000000000000700000003",
-            PeerMessage.Withdraw("a", 7) to "0000000c030001610000000000000007",
-            PeerMessage.Known(2, true) to "00000006040000000201",
-            PeerMessage.Yield("a", 0) to "000000080700016100000000",
+            PeerMessage.IdlePartitionQuery to "0000000101",
+            PeerMessage.IdlePartitionAnnouncement("a", 7, 3) to "0000001002000161000000000000000700000003",
+            PeerMessage.IdleAnnouncementWithdrawn("a", 7) to "0000000c030001610000000000000007",
+            PeerMessage.IdlePartitionCount(2, true) to "00000006040000000201",
+            PeerMessage.TransferLeadership("a", 0) to "000000080700016100000000",
         )) {
             assertEquals(frame, hex(PeerCodec.encode(message)))
             assertEquals(message, PeerCodec.decode(PeerCodec.encode(message).drop(4).toByteArray()))
--- a/src/test/kotlin/io/otterknot/store/StoreConnectionTest.kt
+++ b/src/test/kotlin/io/otterknot/store/StoreConnectionTest.kt
@@ -25,9 +25,11 @@
 
     /** The other controller's answer to a request that it carries; status 0: it got none; null: it is lost itself. */
     private fun peer(carried: String, onCarry: () -> Unit) = PeerTransport { message, _ ->
-        if (message !is PeerMessage.Carry) return@PeerTransport PeerMessage.Known(0, sound = carried != "unsound")
+        if (message !is PeerMessage.RelayRequest) {
+            return@PeerTransport PeerMessage.IdlePartitionCount(0, isStoreReachable = carried != "unsound")
+        }
         onCarry()
-        if (carried == "lost") null else PeerMessage.Carried(carried.toIntOrNull() ?: 0, ByteArray(0))
+        if (carried == "lost") null else PeerMessage.RelayResponse(carried.toIntOrNull() ?: 0, ByteArray(0))
     }
 
     /** [failures]: how often the state service has refused this node before; two of them, apart, and it counts as lost. */
--- a/src/test/kotlin/io/otterknot/wire/WireTest.kt
+++ b/src/test/kotlin/io/otterknot/wire/WireTest.kt
@@ -163,32 +163,36 @@
     @Test
     fun `controllers' messages survive their frames`() {
         for (message in listOf(
-            PeerMessage.Ask,
-            PeerMessage.Announce("gdansk", 77, 3),
-            PeerMessage.Withdraw("łódź", 78),
-            PeerMessage.Known(2, true),
-            PeerMessage.Known(0, false),
+            PeerMessage.IdlePartitionQuery,
+            PeerMessage.IdlePartitionAnnouncement("gdansk", 77, 3),
+            PeerMessage.IdleAnnouncementWithdrawn("łódź", 78),
+            PeerMessage.IdlePartitionCount(2, true),
+            PeerMessage.IdlePartitionCount(0, false),
         )) {
             val frame = PeerCodec.encode(message)
             assertEquals(message, PeerCodec.decode(frame.copyOfRange(4, frame.size)))
         }
-        val carry = PeerMessage.Carry("POST", "/txn", "{}".encodeToByteArray(), 2_500)
-        val read = PeerCodec.decode(PeerCodec.encode(carry).let { it.copyOfRange(4, it.size) }) as PeerMessage.Carry
+        val carry = PeerMessage.RelayRequest("POST", "/txn", "{}".encodeToByteArray(), 2_500)
+        val read = PeerCodec.decode(
+            PeerCodec.encode(carry).let {
+                it.copyOfRange(4, it.size)
+            },
+        ) as PeerMessage.RelayRequest
         assertEquals(
             listOf("POST", "/txn", "{}", 2_500),
             listOf(read.method, read.target, read.body!!.decodeToString(), read.timeoutMs),
         )
         val none = PeerCodec.decode(
-            PeerCodec.encode(PeerMessage.Carry("GET", "/store", null, 1)).let {
+            PeerCodec.encode(PeerMessage.RelayRequest("GET", "/store", null, 1)).let {
                 it.copyOfRange(4, it.size)
             },
-        ) as PeerMessage.Carry
+        ) as PeerMessage.RelayRequest
         assertEquals(null, none.body)
         val carried = PeerCodec.decode(
-            PeerCodec.encode(PeerMessage.Carried(409, "[]".encodeToByteArray())).let {
+            PeerCodec.encode(PeerMessage.RelayResponse(409, "[]".encodeToByteArray())).let {
                 it.copyOfRange(4, it.size)
             },
-        ) as PeerMessage.Carried
+        ) as PeerMessage.RelayResponse
         assertEquals(409 to "[]", carried.status to carried.body.decodeToString())
         assertEquals(
             PeerMessage.Unknown(9),
