--- a/src/main/kotlin/io/otterknot/peer/PeerClient.kt
+++ b/src/main/kotlin/io/otterknot/peer/PeerClient.kt
@@ -1,7 +1,7 @@
 package io.otterknot.peer
 
-import io.otterknot.net.HostPort
 import io.otterknot.net.EventLoop
+import io.otterknot.net.HostPort
 import io.otterknot.net.TcpConnection
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.TimeoutCancellationException
