--- a/src/main/kotlin/io/otterknot/config/OperatorSettings.kt
+++ b/src/main/kotlin/io/otterknot/config/OperatorSettings.kt
@@ -8,35 +8,40 @@
 import java.nio.file.NoSuchFileException
 import java.nio.file.Path
 
-/** The operators' own settings, beyond the platform's file: one section a subsystem. All of them are off by default. */
+/** The operators' own settings, one section for each subsystem; every subsystem is off by default. */
 data class OperatorSettings(val loadSpread: LoadSpreadSettings = LoadSpreadSettings())
 
 /** Reads the operators' file: S-expressions, a list for each subsystem. */
 object OperatorSettingsFile {
-    /** What [path] says; all subsystems are off if there is no such file. */
+    /**
+     * Reads the file at [path]; all subsystems are off if there is no such file.
+     *
+     * @throws InvalidSettingsException if it cannot be read, or a section or setting is unknown or out of range
+     */
     fun read(path: Path): OperatorSettings {
         val text = try {
             Files.readString(path)
-        } catch (e: NoSuchFileException) {
+        } catch (ignored: NoSuchFileException) {
+            // The file is optional.
             return OperatorSettings()
         } catch (e: IOException) {
-            throw InvalidSettingsException("cannot read the operators' file $path: ${e.javaClass.simpleName}")
+            throw InvalidSettingsException("cannot read the operators' file $path: ${e.javaClass.simpleName}", e)
         }
         return parse(text)
     }
 
+    /** Reads the [text] of an operators' file; errors as [read]. */
     fun parse(text: String): OperatorSettings {
         val sections = sections(text)
-        sections.groupBy { it.name }.values.firstOrNull { it.size > 1 }?.let {
-            throw InvalidSettingsException("section ${it.first().name} stands twice")
-        }
+        val repeated = sections.groupBy { it.name }.values.firstOrNull { it.size > 1 }
+        if (repeated != null) throw InvalidSettingsException("section ${repeated.first().name} stands twice")
         var settings = OperatorSettings()
         for (section in sections) {
             settings = when (section.name) {
                 LoadSpreadSettings.SECTION -> settings.copy(loadSpread = LoadSpreadSettings.read(section))
                 else -> throw InvalidSettingsException("unknown section ${section.name}")
             }
-            section.finish()
+            section.rejectUnknown()
         }
         return settings
     }
@@ -52,7 +57,7 @@
                 sections.add(SettingsSection.of(form))
             }
         } catch (e: EdnException) {
-            throw InvalidSettingsException("not S-expressions: ${e.message.orEmpty().lineSequence().first()}")
+            throw InvalidSettingsException("not S-expressions: ${e.message.orEmpty().lineSequence().first()}", e)
         }
     }
 }
--- a/src/main/kotlin/io/otterknot/config/OperatorSettingsFollower.kt
+++ b/src/main/kotlin/io/otterknot/config/OperatorSettingsFollower.kt
@@ -8,28 +8,29 @@
 
 /**
  * Follows the operators' file while a controller runs, so that a subsystem can be switched on or off without a restart.
- * A change that cannot be read is told once and the settings before it stay.
+ * A changed file that is invalid is logged once, and the settings before it stay in force.
  */
 class OperatorSettingsFollower(private val path: Path, initial: OperatorSettings) {
     private val log = LoggerFactory.getLogger(OperatorSettingsFollower::class.java)
-    private var seen = fingerprint()
+    private var lastRead = fingerprint()
 
+    /** The settings in force. */
     var current = initial
         private set
 
     /** Runs until cancelled. */
     suspend fun follow() {
         while (true) {
-            delay(EVERY_MS)
-            look()
+            delay(CHECK_INTERVAL_MS)
+            reloadIfChanged()
         }
     }
 
     /** Reads the file anew if it has changed. */
-    fun look() {
+    fun reloadIfChanged() {
         val found = fingerprint()
-        if (found == seen) return
-        seen = found
+        if (found == lastRead) return
+        lastRead = found
         try {
             current = OperatorSettingsFile.read(path)
             log.info("the operators' file has changed: {}", current)
@@ -38,14 +39,17 @@
         }
     }
 
-    /** When it was last changed and its size; null: there is no such file. */
-    private fun fingerprint(): Pair<Long, Long>? = try {
-        Files.getLastModifiedTime(path).toMillis() to Files.size(path)
-    } catch (e: IOException) {
+    /** Null: there is no such file. */
+    private fun fingerprint(): Fingerprint? = try {
+        Fingerprint(Files.getLastModifiedTime(path).toMillis(), Files.size(path))
+    } catch (ignored: IOException) {
         null
     }
 
+    /** Two versions of the file are told apart by modification time and size. */
+    private data class Fingerprint(val modifiedMs: Long, val bytes: Long)
+
     private companion object {
-        const val EVERY_MS = 5_000L
+        const val CHECK_INTERVAL_MS = 5_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/config/Settings.kt
+++ b/src/main/kotlin/io/otterknot/config/Settings.kt
@@ -1,17 +1,12 @@
 package io.otterknot.config
 
-import com.akuleshov7.ktoml.Toml
-import com.akuleshov7.ktoml.TomlInputConfig
-import io.otterknot.net.HostPort
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import kotlinx.serialization.SerializationException
-import java.nio.file.Files
-import java.nio.file.Path
 
-/** Something in the settings that stops a start; the message is one line for the operator. */
-class InvalidSettingsException(message: String) : Exception(message)
+/** A setting that stops the start of a controller; the message is one line for the operator. */
+class InvalidSettingsException(message: String, cause: Throwable? = null) : Exception(message, cause)
 
+/** The platform's settings file: this controller, its peers, and what holds for the whole site. */
 @Serializable
 data class Settings(
     val label: String,
@@ -23,12 +18,15 @@
     val facts: SiteSettings,
 )
 
+/** Another controller: its name, its zone, and where its peer port listens. */
 @Serializable
 data class Member(val label: String, val domain: String, val endpoint: String)
 
+/** Addresses of the outside services: the cloud and the key-value store. */
 @Serializable
 data class Endpoints(val cloud: String, val state: String)
 
+/** What is the same for all controllers of a site; section `facts` of the file. */
 @Serializable
 data class SiteSettings(
     val nodes: Int,
@@ -42,6 +40,7 @@
     @SerialName("machine_limits") val machineLimits: MachineLimits = MachineLimits(),
 )
 
+/** A team's guaranteed quota ([cpus], [gpus]) and quota limit ([cpusMax], [gpusMax]) in cores and GPUs; 0: none. */
 @Serializable
 data class TeamSettings(
     val name: String,
@@ -51,6 +50,7 @@
     @SerialName("gpus_max") val gpusMax: Double = 0.0,
 )
 
+/** One service-level objective, on a class of jobs or on the whole site; what else is set depends on [kind]. */
 @Serializable
 data class ObjectiveSettings(
     val kind: String,
@@ -60,6 +60,7 @@
     val times: Double? = null,
 )
 
+/** The workers' timing in seconds: heartbeat interval, lease, and how long a confirmed cancellation may take. */
 @Serializable
 data class WorkerSettings(
     @SerialName("report_s") val reportS: Double,
@@ -67,22 +68,24 @@
     @SerialName("cancel_s") val cancelS: Double,
 )
 
+/** The key-value store's limits: requests and changes per second, KiB of a value, changes of a transaction. */
 @Serializable
 data class StoreSettings(
     val rps: Double,
     @SerialName("write_rps") val writeRps: Double,
     @SerialName("value_kb") val valueKb: Double,
     @SerialName("txn_ops") val txnOps: Int,
-    /** Limits that will hold from some moment on, without notice; what is not named stays. */
+    /** Limits that will hold later. */
     val next: AnnouncedStoreLimits = AnnouncedStoreLimits(),
 ) {
-    /** What holds now and later. */
+    // The lower of the present and the announced limit: what keeps to it is right before and after the change.
     val leastValueKb: Double get() = minOf(valueKb, next.valueKb ?: valueKb)
     val leastTxnOps: Int get() = minOf(txnOps, next.txnOps ?: txnOps)
     val leastRps: Double get() = minOf(rps, next.rps ?: rps)
     val leastWriteRps: Double get() = minOf(writeRps, next.writeRps ?: writeRps)
 }
 
+/** Store limits that will replace the present ones without notice; null: that one stays. */
 @Serializable
 data class AnnouncedStoreLimits(
     val rps: Double? = null,
@@ -91,66 +94,10 @@
     @SerialName("txn_ops") val txnOps: Int? = null,
 )
 
+/** The cloud's limit of calls per second, and by how many seconds its machine list lags. */
 @Serializable
 data class CloudSettings(val rps: Double, @SerialName("list_lag_s") val listLagS: Double)
 
+/** What the machine of a controller allows a process. */
 @Serializable
 data class MachineLimits(@SerialName("fd_limit") val fdLimit: Int = 512)
-
-object SettingsFile {
-    private val toml = Toml(inputConfig = TomlInputConfig(ignoreUnknownNames = true))
-
-    fun read(path: Path): Settings {
-        val text = try {
-            Files.readString(path)
-        } catch (e: java.io.IOException) {
-            throw InvalidSettingsException("cannot read the settings file $path: ${e.javaClass.simpleName}")
-        }
-        return parse(text)
-    }
-
-    fun parse(text: String): Settings {
-        val settings = try {
-            toml.decodeFromString(Settings.serializer(), text)
-        } catch (e: SerializationException) {
-            throw InvalidSettingsException(oneLine(e))
-        } catch (e: IllegalArgumentException) {
-            throw InvalidSettingsException(oneLine(e))
-        }
-        check(settings)
-        return settings
-    }
-
-    private fun oneLine(e: Exception) = e.message.orEmpty().lines().joinToString(" ") { it.trim() }.take(300)
-
-    private fun check(settings: Settings) {
-        fun demand(holds: Boolean, text: String) {
-            if (!holds) throw InvalidSettingsException(text)
-        }
-        demand(settings.label.isNotBlank(), "label is empty")
-        HostPort.parse("bind", settings.bind)
-        HostPort.parse("peer_listen", settings.peerListen)
-        HostPort.parse("endpoints.cloud", settings.endpoints.cloud)
-        HostPort.parse("endpoints.state", settings.endpoints.state)
-        settings.members.forEach { HostPort.parse("endpoint of member ${it.label}", it.endpoint) }
-        demand(settings.members.none { it.label == settings.label }, "members names this node, ${settings.label}")
-        val facts = settings.facts
-        demand(facts.zones.isNotEmpty(), "facts.zones is empty")
-        demand(facts.nodes >= 1, "facts.nodes is below 1")
-        demand(
-            facts.workers.reportS > 0 && facts.workers.leaseS > 0,
-            "facts.workers: report_s and lease_s must be above 0",
-        )
-        demand(
-            facts.workers.cancelS > facts.workers.leaseS + 4,
-            "facts.workers: cancel_s leaves no room for lease_s and a take-over",
-        )
-        demand(
-            facts.state.leastRps > 0 && facts.state.leastWriteRps > 0,
-            "facts.state: rps and write_rps must be above 0, those of next too",
-        )
-        demand(facts.state.leastTxnOps >= 4, "facts.state: txn_ops is below 4, or that of next")
-        demand(facts.state.leastValueKb >= 1, "facts.state: value_kb is below 1, or that of next")
-        demand(facts.cloud.rps > 0, "facts.cloud: rps must be above 0")
-    }
-}
--- a/src/main/kotlin/io/otterknot/http/HttpClient.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpClient.kt
@@ -17,6 +17,7 @@
     override suspend fun call(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
         var connection: TcpConnection? = null
         var isReusable = false
+        @Suppress("TooGenericExceptionCaught") // every failure means the same to the caller: no response
         try {
             return withTimeout(timeoutMs) {
                 val used = takeIdle() ?: TcpConnection.open(loop, address)
@@ -26,7 +27,7 @@
                 isReusable = exchange.isReusable
                 exchange.reply
             }
-        } catch (e: TimeoutCancellationException) {
+        } catch (ignored: TimeoutCancellationException) {
             return Reply.None("no answer within $timeoutMs ms")
         } catch (e: CancellationException) {
             throw e
--- a/src/main/kotlin/io/otterknot/http/HttpServer.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpServer.kt
@@ -73,6 +73,7 @@
     }
 
     private suspend fun serveRequests(connection: ServerConnection) {
+        @Suppress("TooGenericExceptionCaught") // one connection must not end the others; logged
         try {
             while (true) {
                 connection.awaitRequest()
@@ -96,15 +97,17 @@
 
     private suspend fun respondTo(received: ReceivedRequest): HttpResponse = when (received) {
         is ReceivedRequest.Invalid -> received.response
+        is ReceivedRequest.Complete -> handle(received.request)
+    }
 
-        is ReceivedRequest.Complete -> try {
-            handler(received.request)
-        } catch (e: CancellationException) {
-            throw e
-        } catch (e: Exception) {
-            log.error("request failed: method={} path={}", received.request.method, received.request.path, e)
-            HttpResponse.refusal(HttpStatus.INTERNAL_SERVER_ERROR, "internal error")
-        }
+    @Suppress("TooGenericExceptionCaught") // a handler may fail in any way; logged, and the client is told
+    private suspend fun handle(request: HttpRequest): HttpResponse = try {
+        handler(request)
+    } catch (e: CancellationException) {
+        throw e
+    } catch (e: Exception) {
+        log.error("request failed: method={} path={}", request.method, request.path, e)
+        HttpResponse.refusal(HttpStatus.INTERNAL_SERVER_ERROR, "internal error")
     }
 
     private suspend fun send(socket: TcpConnection, response: HttpResponse, close: Boolean) {
--- a/src/main/kotlin/io/otterknot/http/RequestReader.kt
+++ b/src/main/kotlin/io/otterknot/http/RequestReader.kt
@@ -34,17 +34,25 @@
     }
 
     private suspend fun receiveInTime(connection: ServerConnection): ReceivedRequest? {
-        val socket = connection.socket
-        val head = HttpHead.receive(socket) ?: return null
+        val head = HttpHead.receive(connection.socket) ?: return null
         connection.headReceived()
-        if (!isHttpRequest(head)) return invalid(HttpStatus.BAD_REQUEST, "not HTTP")
-        if (head.isChunked) return receiveChunked(socket, head)
+        return when {
+            !isHttpRequest(head) -> invalid(HttpStatus.BAD_REQUEST, "not HTTP")
+            head.isChunked -> receiveChunked(connection.socket, head)
+            else -> receiveWithLength(connection.socket, head)
+        }
+    }
+
+    /** Reads a body of `Content-Length` bytes, none without that field; null: the client closed the connection. */
+    private suspend fun receiveWithLength(socket: TcpConnection, head: HttpHead): ReceivedRequest? {
         val lengthField = head["Content-Length"] ?: return complete(head, EMPTY_BODY)
         val bodyBytes = lengthField.toLongOrNull()
-        if (bodyBytes == null || bodyBytes < 0) return invalid(HttpStatus.BAD_REQUEST, "bad Content-Length")
-        if (bodyBytes > maxBodyBytes) return bodyTooLarge()
-        if (!socket.receive(bodyBytes)) return null
-        return complete(head, socket.input.readByteArray(bodyBytes))
+        return when {
+            bodyBytes == null || bodyBytes < 0 -> invalid(HttpStatus.BAD_REQUEST, "bad Content-Length")
+            bodyBytes > maxBodyBytes -> bodyTooLarge()
+            !socket.receive(bodyBytes) -> null
+            else -> complete(head, socket.input.readByteArray(bodyBytes))
+        }
     }
 
     private fun isHttpRequest(head: HttpHead): Boolean =
--- a/src/main/kotlin/io/otterknot/net/TcpConnection.kt
+++ b/src/main/kotlin/io/otterknot/net/TcpConnection.kt
@@ -60,6 +60,7 @@
          */
         suspend fun open(loop: EventLoop, address: HostPort): TcpConnection {
             val connection = of(loop, SocketChannel.open())
+            @Suppress("TooGenericExceptionCaught") // whatever went wrong, the socket must not leak; it is rethrown
             try {
                 connection.connect(InetSocketAddress(address.host, address.port))
                 return connection
--- a/src/main/kotlin/io/otterknot/net/TcpListener.kt
+++ b/src/main/kotlin/io/otterknot/net/TcpListener.kt
@@ -31,6 +31,7 @@
          */
         fun bind(loop: EventLoop, address: HostPort): TcpListener {
             val channel = ServerSocketChannel.open()
+            @Suppress("TooGenericExceptionCaught") // whatever went wrong, the socket must not leak; it is rethrown
             try {
                 channel.setOption(StandardSocketOptions.SO_REUSEADDR, true)
                 channel.bind(InetSocketAddress(address.host, address.port), ACCEPT_BACKLOG)
--- a/src/test/kotlin/io/otterknot/config/OperatorSettingsTest.kt
+++ b/src/test/kotlin/io/otterknot/config/OperatorSettingsTest.kt
@@ -61,7 +61,7 @@
         )
         for ((text, mode) in steps) {
             if (text == null) Files.delete(file) else Files.writeString(file, text)
-            follower.look()
+            follower.reloadIfChanged()
             assertEquals(mode, follower.current.loadSpread.mode, "$text")
         }
     }
