--- a/src/main/kotlin/io/otterknot/api/JobApi.kt
+++ b/src/main/kotlin/io/otterknot/api/JobApi.kt
@@ -116,7 +116,7 @@
         }
 
     suspend fun poll(id: String): HttpResponse {
-        jobs[id]?.let { if (it.outcome != null) return tell(it, 200) }
+        jobs[id]?.let { if (it.terminalState != null) return tell(it, 200) }
         if (!isJobId(id)) return unknown(id)
         return current(id, 200)
     }
@@ -160,19 +160,19 @@
 
     /** The state of a job as of now: a final one from memory, any other only once the replica is surely up to date. */
     private suspend fun current(id: String, code: Int): HttpResponse {
-        jobs[id]?.let { if (it.outcome != null) return tell(it, code) }
+        jobs[id]?.let { if (it.terminalState != null) return tell(it, code) }
         if (!replica.awaitReadBarrier(BARRIER_MS)) return later(STATE_AWAY)
         val job = jobs[id] ?: return unknown(id)
         return tell(job, code)
     }
 
-    private fun tell(job: Job, code: Int): HttpResponse = when (job.outcome) {
+    private fun tell(job: Job, code: Int): HttpResponse = when (job.terminalState) {
         TerminalState.DONE -> status(JobStatus(job.id, "done", job.record?.tasks, 0), code)
 
         TerminalState.CANCELLED -> status(JobStatus(job.id, "aborted"), code)
 
         null -> {
-            val done = job.done.cardinality()
+            val done = job.completedTasks.cardinality()
             val running = partitions.values.sumOf { it.runningTasks(job.id) }
             status(JobStatus(job.id, if (running > 0 || done > 0) "running" else "queued", done, running), code)
         }
@@ -206,7 +206,7 @@
         null
     }
 
-    private fun done(id: String) = jobs[id]?.final == TerminalState.DONE
+    private fun done(id: String) = jobs[id]?.recordedTerminalState == TerminalState.DONE
 
     /**
      * The answer to a submission that was carried out a moment ago: what the replica shows of it, if it does already. A
@@ -214,7 +214,7 @@
      */
     private fun accepted(spec: JobSpec): HttpResponse {
         jobs[spec.id]?.let { return tell(it, 201) }
-        val orphaned = spec.dependencies.orEmpty().any { jobs[it]?.outcome == TerminalState.CANCELLED }
+        val orphaned = spec.dependencies.orEmpty().any { jobs[it]?.terminalState == TerminalState.CANCELLED }
         return status(JobStatus(spec.id, if (orphaned) "aborted" else "queued"), 201)
     }
 
--- a/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
+++ b/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
@@ -20,7 +20,7 @@
      * The writes that make all completions of [partition] durable, and those that remove what is of no use any more.
      */
     fun writes(partition: Partition): List<PendingWrite> {
-        val segments = jobs.segments(StoreKeys.completionSegment(partition.zone, ""))
+        val segments = jobs.completionSegments(StoreKeys.completionSegment(partition.zone, ""))
         val added = additions(partition, segments)
         val written = added.mapTo(HashSet()) { it.key }
         val removed = segments.filter { (key, record) -> key !in written && isObsolete(record) }.keys
@@ -28,7 +28,7 @@
     }
 
     private fun isObsolete(record: CompletionSegmentRecord): Boolean =
-        (record.bits.keys + record.fine?.keys.orEmpty()).none(jobs::isStillNeeded)
+        (record.bits.keys + record.fine?.keys.orEmpty()).none(jobs::isBitmapNeeded)
 
     private fun additions(partition: Partition, segments: Map<String, CompletionSegmentRecord>): List<PendingWrite> {
         val chunks = changedChunks(partition)
@@ -71,8 +71,8 @@
 
     /** A segment as it shall be, without what is said of jobs that are over. */
     private inner class Segment(record: CompletionSegmentRecord) {
-        private val bits = record.bits.filterKeys(jobs::isStillNeeded).toMutableMap()
-        private val fineBits = record.fine.orEmpty().filterKeys(jobs::isStillNeeded).toMutableMap()
+        private val bits = record.bits.filterKeys(jobs::isBitmapNeeded).toMutableMap()
+        private val fineBits = record.fine.orEmpty().filterKeys(jobs::isBitmapNeeded).toMutableMap()
 
         /** Whether something was added. */
         var changed = false
--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -257,7 +257,7 @@
         override val partitions get() = this@Controller.partitions
         override val views get() = this@Controller.views
         override val teams get() = facts.teams
-        override val liveJobs get() = jobs.live.values
+        override val liveJobs get() = jobs.activeJobs
         override val hasState get() = contact.isAnswering
         override fun mayActFor(partition: Partition) = ownership.token(partition.zone) == partition.fencingToken
         override fun isOwned(zone: String) = ownership.leaderOf(zone) != null
@@ -296,7 +296,7 @@
                 teamQuotas = teamShares(zone),
                 registeredMachines = registered,
             )
-            jobs.live.values.forEach { partition.updateJob(it, inherited = true) }
+            jobs.activeJobs.forEach { partition.updateJob(it, inherited = true) }
             partitions[zone] = partition
             log.info("{}: taken up with {} jobs and {} registered machines", zone, partition.jobs.size, registered.size)
         }
--- a/src/main/kotlin/io/otterknot/controller/JobFinalizer.kt
+++ b/src/main/kotlin/io/otterknot/controller/JobFinalizer.kt
@@ -29,13 +29,13 @@
 
     /** Writes all that are due, until a transaction fails. */
     suspend fun finishAll() {
-        for ((homeZone, ended) in jobs.live.values.filter(::isDue).groupBy { it.record?.homeZone.orEmpty() }) {
+        for ((homeZone, ended) in jobs.activeJobs.filter(::isDue).groupBy { it.record?.homeZone.orEmpty() }) {
             for (batch in batches(ended)) if (!finish(homeZone, batch)) return
         }
     }
 
     private fun isDue(job: Job): Boolean {
-        if (job.unrecordedEnd == null) return false
+        if (job.unrecordedTerminalState == null) return false
         return job.record?.homeZone?.let(ownership::acquiredToken) != null
     }
 
--- a/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
@@ -14,94 +14,103 @@
 import java.util.BitSet
 
 /**
- * All changes that a job's key can go through: accepted, handed over, and one end. Each function looks at the job and
- * takes the guard from the same snapshot, in one step; nothing else writes the key of a job. A job whose outcome is
- * known has no transition left, so a final state is never replaced.
+ * All transitions of a job's key: accepted, tasks reassigned, and one terminal state. Each function reads the job and
+ * takes the guard from the same snapshot in one step, and nothing else writes the key of a job. A job with a terminal
+ * state has no transition left, so that state is never replaced.
  */
 object JobTransitions {
     /**
-     * Brings a job in: its own key and, if the jobs that it awaits do not fit there, keys with those; all in one
-     * transaction, so that it is never there without them. Null: more than a transaction holds.
+     * Creates the job. If its dependencies do not fit in its own key, they go to segments of their own in the same
+     * transaction, so that the job never exists without them. Null: it does not fit in one transaction.
      */
     fun accept(record: JobRecord, limits: WriteLimits): CompareAndSwap? {
         val spec = record.spec ?: return null
-        val key = StoreKeys.job(spec.id)
-        val whole = create(key, encode(record))
+        val whole = create(StoreKeys.job(spec.id), encode(record))
         if (limits.fits(whole)) return whole
-        val pieces = pieces(spec.dependencies ?: return null, limits.maxValueBytes)
-        val main = create(key, encode(record.copy(spec = spec.copy(dependencies = null), awaitKeys = pieces.size)))
-        val lists = pieces.mapIndexed { number, piece ->
-            create(
-                StoreKeys.dependencySegment(spec.id, number),
-                encodeRecord(DependencySegmentRecord.serializer(), piece),
-            )
-        }
-        val all = lists.reduce(CompareAndSwap::plus) + main
-        val bytes = all.changes.sumOf { it.key.length + it.valueBytes }
-        val fits = limits.fits(main) && all.size <= limits.maxTransactionChanges && bytes <= limits.maxTransactionBytes
-        return all.takeIf { fits }
+        val dependencies = spec.dependencies ?: return null
+        return acceptWithSegments(record, splitIntoSegments(dependencies, limits.maxValueBytes), limits)
     }
 
-    /** Its user cancels it. Null: it has an outcome already, or was never accepted. */
+    /** Cancels the job for its user. Null: it has a terminal state already, or was never accepted. */
     fun cancel(job: Job, wallMs: Long, limits: WriteLimits): CompareAndSwap? =
-        if (job.outcome == null) end(job, TerminalState.CANCELLED, wallMs, limits) else null
+        if (job.terminalState == null) end(job, TerminalState.CANCELLED, wallMs, limits) else null
 
     /**
-     * Records the outcome that follows from what is durable: done once all its tasks are, cancelled once a job that it
-     * awaits is. Null: nothing follows yet, or its end is recorded.
+     * Records the terminal state that follows from what is durable: done once all tasks are, cancelled once a job that
+     * this one depends on is. Null: nothing follows yet, or the terminal state is recorded.
      */
     fun finish(job: Job, wallMs: Long, limits: WriteLimits): CompareAndSwap? =
-        job.unrecordedEnd?.let { end(job, it, wallMs, limits) }
+        job.unrecordedTerminalState?.let { end(job, it, wallMs, limits) }
 
-    /** Gives [tasks] to the partition of [zone]. Null: it has an outcome already, or would be cut into too many spans. */
-    fun handOver(job: Job, tasks: BitSet, zone: String): CompareAndSwap? {
-        val before = job.stored ?: return null
-        val record = before.value ?: return null
-        if (record.spec == null || job.outcome != null) return null
+    /**
+     * Assigns [tasks] to the partition of [zone]. Null: the job has a terminal state, or its tasks would be divided
+     * into too many spans.
+     */
+    fun reassign(job: Job, tasks: BitSet, zone: String): CompareAndSwap? {
+        val snapshot = job.snapshot ?: return null
+        val record = snapshot.value ?: return null
+        if (record.spec == null || job.terminalState != null) return null
         val spans = TaskSpans.move(record.spans, tasks, zone)
         if (spans.size > MAX_SPANS) return null
-        return CompareAndSwap.put(before, encode(record.copy(spans = spans)))
+        return CompareAndSwap.put(snapshot, encode(record.copy(spans = spans)))
+    }
+
+    private fun acceptWithSegments(
+        record: JobRecord,
+        segments: List<DependencySegmentRecord>,
+        limits: WriteLimits,
+    ): CompareAndSwap? {
+        val spec = record.spec ?: return null
+        val shortened = record.copy(spec = spec.copy(dependencies = null), awaitKeys = segments.size)
+        val main = create(StoreKeys.job(spec.id), encode(shortened))
+        val segmentChanges = segments.mapIndexed { number, segment ->
+            create(StoreKeys.dependencySegment(spec.id, number), encodeRecord(DependencySegmentRecord.serializer(), segment))
+        }
+        val all = segmentChanges.reduce(CompareAndSwap::plus) + main
+        return all.takeIf { limits.fits(main) && fitsOneTransaction(all, limits) }
+    }
+
+    private fun fitsOneTransaction(transaction: CompareAndSwap, limits: WriteLimits): Boolean {
+        val bytes = transaction.changes.sumOf { it.key.length + it.valueBytes }
+        return transaction.size <= limits.maxTransactionChanges && bytes <= limits.maxTransactionBytes
     }
 
     /**
-     * The keys with what it awaited go with the same transaction, as far as it may hold them; what is left of them says
-     * nothing any more, since the job is final.
+     * Records [state] and removes the segments of the job's dependencies, as many as the transaction may hold: what is
+     * left of them has no meaning, since the job has ended.
      */
-    private fun end(job: Job, final: TerminalState, wallMs: Long, limits: WriteLimits): CompareAndSwap? {
-        val before = job.stored ?: return null
-        val record = before.value ?: return null
-        val ended = JobRecord(final = final, tasks = record.spec?.tasks ?: record.tasks, endedMs = wallMs)
-        val lists = minOf(record.awaitKeys ?: 0, limits.maxTransactionChanges - 1)
-        return CompareAndSwap.put(before, encode(ended)).alsoRemove(
-            List(lists) {
-                StoreKeys.dependencySegment(job.id, it)
-            },
-        )
+    private fun end(job: Job, state: TerminalState, wallMs: Long, limits: WriteLimits): CompareAndSwap? {
+        val snapshot = job.snapshot ?: return null
+        val record = snapshot.value ?: return null
+        val ended = JobRecord(final = state, tasks = record.spec?.tasks ?: record.tasks, endedMs = wallMs)
+        val removedSegments = minOf(record.awaitKeys ?: 0, limits.maxTransactionChanges - 1)
+        return CompareAndSwap.put(snapshot, encode(ended))
+            .alsoRemove(List(removedSegments) { StoreKeys.dependencySegment(job.id, it) })
     }
 
     private fun create(key: String, value: JsonElement) = CompareAndSwap.put(Snapshot.absent(key), value)
 
     private fun encode(record: JobRecord) = encodeRecord(JobRecord.serializer(), record)
 
-    private fun pieces(jobs: List<String>, valueBytes: Int): List<DependencySegmentRecord> {
-        val pieces = ArrayList<DependencySegmentRecord>()
-        var piece = ArrayList<String>()
-        var bytes = RECORD_OVERHEAD_BYTES
-        for (job in jobs) {
-            if (bytes + job.length > valueBytes && piece.isNotEmpty()) {
-                pieces.add(DependencySegmentRecord.of(piece))
-                piece = ArrayList()
-                bytes = RECORD_OVERHEAD_BYTES
+    private fun splitIntoSegments(jobIds: List<String>, maxBytes: Int): List<DependencySegmentRecord> {
+        val segments = ArrayList<DependencySegmentRecord>()
+        var segment = ArrayList<String>()
+        var bytes = SEGMENT_OVERHEAD_BYTES
+        for (id in jobIds) {
+            if (bytes + id.length > maxBytes && segment.isNotEmpty()) {
+                segments.add(DependencySegmentRecord.of(segment))
+                segment = ArrayList()
+                bytes = SEGMENT_OVERHEAD_BYTES
             }
-            piece.add(job)
-            bytes += job.length
+            segment.add(id)
+            bytes += id.length
         }
-        return pieces + DependencySegmentRecord.of(piece)
+        return segments + DependencySegmentRecord.of(segment)
     }
 
-    /** `{"i":""}` and a little more. */
-    private const val RECORD_OVERHEAD_BYTES = 16
+    /** Bytes of `{"i":""}`, rounded up. */
+    private const val SEGMENT_OVERHEAD_BYTES = 16
 
-    /** A job that is cut into more spans than this stays where it is: its value would become too large. */
+    /** The most spans of one job; with more, its value would become too large, so its tasks stay where they are. */
     private const val MAX_SPANS = 48
 }
--- a/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
@@ -44,7 +44,7 @@
     private fun complete(machine: Machine, job: PartitionJob, task: Int, status: TaskStatus): HeartbeatCommand? {
         machine.failedJobs.clear()
         machine.failures = 0
-        if (job.job.done.get(task)) return forget(status)
+        if (job.job.completedTasks.get(task)) return forget(status)
         if (job.owned.get(task)) attempts.recordCompletion(job, task)
         return null
     }
@@ -65,7 +65,7 @@
      */
     private fun isFaulty(machine: Machine, job: PartitionJob): Boolean {
         if (machine.failures < MIN_FAILURES_OF_FAULTY_MACHINE) return false
-        return machine.failedJobs.size >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE || !job.job.done.isEmpty
+        return machine.failedJobs.size >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE || !job.job.completedTasks.isEmpty
     }
 
     private fun retryDelayMs(failures: Int): Long =
--- a/src/main/kotlin/io/otterknot/partition/JobBook.kt
+++ b/src/main/kotlin/io/otterknot/partition/JobBook.kt
@@ -29,12 +29,12 @@
      */
     fun update(job: Job, isInDoubt: Boolean) {
         val record = job.record ?: return
-        if (record.spec == null || job.outcome != null) {
+        if (record.spec == null || job.terminalState != null) {
             get(job.id)?.let(::drop)
             return
         }
         // Until all that it depends on is done, it is in no queue here and uses nothing.
-        if (!job.ready) return
+        if (!job.isReady) return
         val partitionJob = get(job.id) ?: add(job, record) ?: return
         if (partitionJob.applyInheritedPriority()) trigger.requestFullPass()
         updateOwnedTasks(partitionJob, record, isInDoubt)
@@ -54,7 +54,7 @@
         record.spans.forEach { if (it.zone == zone) owned.set(it.from, it.until) }
         val added = (owned.clone() as BitSet).apply {
             andNot(partitionJob.owned)
-            andNot(partitionJob.job.done)
+            andNot(partitionJob.job.completedTasks)
         }
         val removed = (partitionJob.owned.clone() as BitSet).apply { andNot(owned) }
         partitionJob.owned.clear()
@@ -115,9 +115,9 @@
     /** Completions of [job] have become durable. */
     fun applyCompletions(job: Job) {
         val partitionJob = get(job.id) ?: return
-        partitionJob.unrecordedCompletions.andNot(job.done)
-        partitionJob.pending.andNot(job.done)
-        partitionJob.inDoubt.andNot(job.done)
+        partitionJob.unrecordedCompletions.andNot(job.completedTasks)
+        partitionJob.pending.andNot(job.completedTasks)
+        partitionJob.inDoubt.andNot(job.completedTasks)
         waitingWork.touch(partitionJob)
     }
 
@@ -125,7 +125,7 @@
     fun resolveDoubts(): Int {
         var count = 0
         for (job in all) {
-            job.inDoubt.andNot(job.job.done)
+            job.inDoubt.andNot(job.job.completedTasks)
             count += job.inDoubt.cardinality()
             job.pending.or(job.inDoubt)
             job.inDoubt.clear()
--- a/src/main/kotlin/io/otterknot/reassignment/TaskReassignment.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/TaskReassignment.kt
@@ -27,7 +27,7 @@
 
     /** Gives [tasks], which have been set aside, to the partition of [zone]. */
     suspend fun transfer(partition: Partition, held: PartitionJob, tasks: BitSet, zone: String): Outcome {
-        val change = JobTransitions.handOver(held.job, tasks, zone)
+        val change = JobTransitions.reassign(held.job, tasks, zone)
         // A value that is too large would be refused.
         if (change == null || !limits.fits(change)) {
             partition.completeReassignment(held, tasks)
--- a/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
@@ -104,7 +104,7 @@
         return state != before
     }
 
-    private fun isCompleted() = job.unrecordedCompletions.get(move.task) || job.job.done.get(move.task)
+    private fun isCompleted() = job.unrecordedCompletions.get(move.task) || job.job.completedTasks.get(move.task)
 
     private fun lookWhetherStopped(now: Long) {
         if (attempt.occupiesMachine) return
--- a/src/main/kotlin/io/otterknot/rebalance/QuotaCoverage.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/QuotaCoverage.kt
@@ -17,8 +17,8 @@
         /** Null: the job is over, waits for others, or is not known well enough; it takes nothing. */
         fun of(job: Job): UnfinishedJob? {
             val spec = job.spec ?: return null
-            if (job.outcome != null || !job.ready) return null
-            val tasks = spec.tasks - job.done.cardinality()
+            if (job.terminalState != null || !job.isReady) return null
+            val tasks = spec.tasks - job.completedTasks.cardinality()
             val amount = QuotaAmount(tasks * spec.cores, tasks * spec.cards)
             val priority = minOf(spec.priority, job.dependencies.inheritedPriority ?: spec.priority)
             return UnfinishedJob(job.id, spec.team, priority, job.record?.submittedMs ?: 0, amount)
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
@@ -50,7 +50,7 @@
 
     /** A task of it has run, as far as this partition knows. */
     var hasStarted = false
-    val neverStarted: Boolean get() = !hasStarted && active.isEmpty() && job.done.isEmpty
+    val neverStarted: Boolean get() = !hasStarted && active.isEmpty() && job.completedTasks.isEmpty
 
     /**
      * It fits into its team's guarantee together with the team's more urgent and earlier jobs, so it need not wait for
@@ -88,7 +88,7 @@
     var candidates: JobCandidates? = null
 
     /** Core-seconds left of the whole job, in all partitions, by its owner's estimate. */
-    val remainingWork: Double get() = (spec.tasks - job.done.cardinality()) * spec.cores * spec.estimateS
+    val remainingWork: Double get() = (spec.tasks - job.completedTasks.cardinality()) * spec.cores * spec.estimateS
 
     /**
      * Ours and on no machine that we know of, not completed and not leaving: it may wait here, if it is not in doubt.
@@ -96,12 +96,12 @@
     fun isUnassigned(task: Int): Boolean = owned.get(
         task,
     ) && !beingReassigned.get(task) && !active.containsKey(task) && !unrecordedCompletions.get(task) &&
-        !job.done.get(task)
+        !job.completedTasks.get(task)
 
     /** Every task of the job that is not done waits here, and none is on a machine or may be. */
     val allTasksPending: Boolean get() =
         active.isEmpty() && inDoubt.isEmpty && beingReassigned.isEmpty && unrecordedCompletions.isEmpty &&
-            pending.cardinality() == spec.tasks - job.done.cardinality()
+            pending.cardinality() == spec.tasks - job.completedTasks.cardinality()
 
     val pendingCores: Double get() = (pendingCount + inDoubt.cardinality()) * spec.cores
     val pendingCount: Int get() = pending.cardinality()
--- a/src/main/kotlin/io/otterknot/wire/TaskName.kt
+++ b/src/main/kotlin/io/otterknot/wire/TaskName.kt
@@ -5,7 +5,7 @@
     override fun toString() = "$job/$number"
 
     companion object {
-        /** @throws MalformedMessageException if [text] is not of the form `JOB/NUMBER` with a number below [MAX_TASKS] */
+        /** @throws MalformedMessageException if [text] is not `JOB/NUMBER` with a number below [MAX_TASKS] */
         fun parse(text: String): TaskName {
             val slash = text.indexOf('/')
             val number = if (slash > 0) text.substring(slash + 1).toIntOrNull() else null
--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -19,6 +19,7 @@
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.Priority
 import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTimeout
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
@@ -26,7 +27,7 @@
 import java.time.Duration
 import kotlin.random.Random
 
-/** What follows for jobs that await others, from the replica alone. */
+/** Jobs that depend on others: when they are ready or cancelled, and what they inherit, from the replica alone. */
 class DependencyGraphTest {
     private val table = JobTable()
     private var revision = 0L
@@ -35,9 +36,7 @@
 
     private fun spec(number: Int, awaits: List<Int>, priority: Priority = Priority.BEST_EFFORT, dueS: Double? = null) =
         JobSpec(
-            id(
-                number,
-            ),
+            id(number),
             "k",
             "red",
             priority,
@@ -52,13 +51,11 @@
             dependencies = awaits.map(::id).ifEmpty { null },
         )
 
-    /** The jobs of which the table says that something else holds now. */
+    /** Stores [record]; the ids of the jobs that this affects. */
     private fun put(record: JobRecord, number: Int): List<String> = table.applyJobChange(
         StoreKeys.job(id(number)),
         ReplicaEntry(encodeRecord(JobRecord.serializer(), record), ++revision),
-    ).map {
-        it.id
-    }
+    ).map { it.id }
 
     private fun submit(
         number: Int,
@@ -69,8 +66,7 @@
         JobRecord(
             spec(number, awaits.toList(), priority, dueS),
             listOf(TaskSpan("a", 0, 2)),
-            submittedMs =
-            1_000L * number,
+            submittedMs = 1_000L * number,
         ),
         number,
     )
@@ -78,9 +74,9 @@
     private fun end(number: Int, final: TerminalState = TerminalState.DONE) =
         put(JobRecord(final = final, endedMs = 100_000L + number), number)
 
-    private fun ready(number: Int) = table[id(number)]!!.ready
+    private fun isReady(number: Int) = table[id(number)]!!.isReady
 
-    private fun outcome(number: Int) = table[id(number)]!!.outcome
+    private fun terminalState(number: Int) = table[id(number)]!!.terminalState
 
     @Test
     fun `a job is ready once all that it awaits is done, whichever comes first`() {
@@ -88,17 +84,17 @@
         submit(2)
         submit(3, 1, 2)
         submit(4, 3)
-        assertTrue(ready(1) && !ready(3) && !ready(4))
+        assertTrue(isReady(1) && !isReady(3) && !isReady(4))
         assertEquals(listOf(id(1)), end(1).take(1))
-        assertTrue(!ready(3))
+        assertTrue(!isReady(3))
         assertEquals(listOf(id(2), id(3)), end(2))
-        assertTrue(ready(3) && !ready(4))
+        assertTrue(isReady(3) && !isReady(4))
         assertEquals(100_002L, table[id(3)]!!.readyMs, "aims on waiting count from the end of the last")
         assertEquals(3_000L, submit(3, 1, 2).let { table[id(3)]!!.record!!.submittedMs })
         submit(5, 1, 2)
-        assertTrue(ready(5), "all that it names was over already")
+        assertTrue(isReady(5), "all that it names was over already")
         end(3, TerminalState.DONE)
-        assertTrue(ready(4))
+        assertTrue(isReady(4))
     }
 
     @Test
@@ -118,39 +114,28 @@
             order.forEach { take(it, records.getValue(it)) }
             assertEquals(
                 listOf(TerminalState.CANCELLED, TerminalState.DONE, TerminalState.CANCELLED, TerminalState.CANCELLED),
-                (1..4).map {
-                    read[id(it)]!!.outcome
-                },
+                (1..4).map { read[id(it)]!!.terminalState },
             )
-            assertTrue(!read[id(3)]!!.ready && !read[id(4)]!!.ready)
-            val lending = JobTable()
+            assertTrue(!read[id(3)]!!.isReady && !read[id(4)]!!.isReady)
+        }
+    }
+
+    @Test
+    fun `the order in which a restarted controller reads a chain of jobs does not matter to what they inherit`() {
+        val specs = mapOf(
+            1 to spec(1, emptyList()),
+            2 to spec(2, listOf(1)),
+            3 to spec(3, listOf(2)),
+            4 to spec(4, listOf(3), Priority.HIGH, dueS = 90.0),
+        )
+        for (order in listOf(listOf(1, 2, 3, 4), listOf(4, 3, 2, 1), listOf(3, 1, 4, 2))) {
+            val read = JobTable()
             for (number in order) {
-                val spec = spec(
-                    number,
-                    listOfNotNull((number - 1).takeIf { it > 0 }),
-                    if (number ==
-                        4
-                    ) {
-                        Priority.HIGH
-                    } else {
-                        Priority.BEST_EFFORT
-                    },
-                    if (number == 4) 90.0 else null,
-                )
-                lending.applyJobChange(
-                    StoreKeys.job(id(number)),
-                    ReplicaEntry(encodeRecord(JobRecord.serializer(), JobRecord(spec)), 1),
-                )
+                val value = encodeRecord(JobRecord.serializer(), JobRecord(specs.getValue(number)))
+                read.applyJobChange(StoreKeys.job(id(number)), ReplicaEntry(value, 1))
             }
-            assertEquals(
-                List(3) { Priority.HIGH to 90_000L - 14_000 * (3 - it) },
-                (1..3).map {
-                    lending[id(it)]!!.dependencies.let { dependencies ->
-                        dependencies.inheritedPriority to
-                            dependencies.inheritedDueMs
-                    }
-                },
-            )
+            val inherited = (1..3).map { read[id(it)]!!.dependencies }.map { it.inheritedPriority to it.inheritedDueMs }
+            assertEquals(List(3) { Priority.HIGH to 90_000L - 14_000 * (3 - it) }, inherited)
         }
     }
 
@@ -162,32 +147,32 @@
         submit(4, 3)
         submit(5, 2)
         assertEquals(setOf(id(1), id(2), id(3), id(4)), (end(1, TerminalState.CANCELLED) + id(2)).toSet())
-        assertEquals(listOf(null, TerminalState.CANCELLED, TerminalState.CANCELLED, null), (2..5).map(::outcome))
+        assertEquals(listOf(null, TerminalState.CANCELLED, TerminalState.CANCELLED, null), (2..5).map(::terminalState))
         end(2)
-        assertTrue(!ready(3) && !ready(4) && ready(5))
+        assertTrue(!isReady(3) && !isReady(4) && isReady(5))
         submit(6, 4)
-        assertEquals(TerminalState.CANCELLED, outcome(6), "submitted after the cancellation")
+        assertEquals(TerminalState.CANCELLED, terminalState(6), "submitted after the cancellation")
         val completions =
             encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(mapOf(id(4) to "Aw")))
         table.applyCompletionSegment(StoreKeys.completionSegment("a", "1-0"), ReplicaEntry(completions, ++revision))
-        assertTrue(!table[id(4)]!!.complete, "it is never called done")
+        assertTrue(!table[id(4)]!!.isComplete, "it is never called done")
     }
 
     /** Each level of a chain would take a level of the stack otherwise. */
     @ParameterizedTest
     @ValueSource(ints = [20_000])
     fun `long chains and wide fans take no recursion and no time`(count: Int) =
-        org.junit.jupiter.api.Assertions.assertTimeout(Duration.ofSeconds(20)) {
+        assertTimeout(Duration.ofSeconds(20)) {
             submit(0)
             for (number in 1..count) submit(number, number - 1)
             submit(count + 1, count, priority = Priority.HIGH, dueS = 900.0)
             assertEquals(Priority.HIGH, table[id(0)]!!.dependencies.inheritedPriority)
             assertEquals(count + 2, end(0, TerminalState.CANCELLED).size)
-            assertEquals(TerminalState.CANCELLED, outcome(count + 1))
+            assertEquals(TerminalState.CANCELLED, terminalState(count + 1))
             submit(500_000)
             for (number in 1..count) submit(500_000 + number, 500_000)
             assertEquals(count + 1, end(500_000).size)
-            assertTrue(ready(500_000 + count))
+            assertTrue(isReady(500_000 + count))
         }
 
     @Test
@@ -196,15 +181,15 @@
         submit(2, 1)
         submit(3, 2, priority = Priority.HIGH, dueS = 100.0)
         submit(4, 1, priority = Priority.NORMAL, dueS = 300.0)
-        fun lent(number: Int) = table[id(number)]!!.dependencies.let { it.inheritedPriority to it.inheritedDueMs }
+        fun inherited(number: Int) = table[id(number)]!!.dependencies.let { it.inheritedPriority to it.inheritedDueMs }
         // Each step back takes the estimate of 10 s and 4 s besides.
-        assertEquals(Priority.HIGH to 103_000L - 14_000, lent(2))
-        assertEquals(Priority.HIGH to 103_000L - 28_000, lent(1))
+        assertEquals(Priority.HIGH to 103_000L - 14_000, inherited(2))
+        assertEquals(Priority.HIGH to 103_000L - 28_000, inherited(1))
         assertTrue(id(1) in end(3, TerminalState.CANCELLED))
-        assertEquals(Priority.BEST_EFFORT to null, lent(2).let { (it.first ?: Priority.BEST_EFFORT) to it.second })
-        assertEquals(Priority.NORMAL to 304_000L - 14_000, lent(1))
+        assertEquals(Priority.BEST_EFFORT to null, inherited(2).let { (it.first ?: Priority.BEST_EFFORT) to it.second })
+        assertEquals(Priority.NORMAL to 304_000L - 14_000, inherited(1))
         end(4, TerminalState.CANCELLED)
-        assertEquals(Priority.BEST_EFFORT to null, lent(1))
+        assertEquals(Priority.BEST_EFFORT to null, inherited(1))
     }
 
     private fun partition(
@@ -248,12 +233,7 @@
         partition.updateJob(table[id(4)]!!, inherited = false)
         assertEquals(
             listOf(0 to 2, 2 to 0),
-            listOf(2, 4).map {
-                partition.job(id(it))!!.let { held ->
-                    held.pending.cardinality() to
-                        held.inDoubt.cardinality()
-                }
-            },
+            listOf(2, 4).map { partition.job(id(it))!! }.map { it.pending.cardinality() to it.inDoubt.cardinality() },
         )
     }
 
@@ -304,16 +284,13 @@
             val read = JobTable()
             order.forEachIndexed { index, change ->
                 val entry = ReplicaEntry(change.value!!, 5)
-                val said = if (change.key.startsWith(
-                        StoreKeys.JOBS,
-                    )
-                ) {
+                val affected = if (change.key.startsWith(StoreKeys.JOBS)) {
                     read.applyJobChange(change.key, entry)
                 } else {
                     read.applyDependencySegment(change.key, entry)
                 }
-                assertTrue(said.none { it.ready }, "not all has been read")
-                if (index == order.size - 1) assertEquals(list(900).toSet(), read[id(1)]!!.dependencies.ids)
+                assertTrue(affected.none { it.isReady }, "not all has been read")
+                if (index == order.size - 1) assertEquals(list(900).toSet(), read[id(1)]!!.dependencies.jobIds)
             }
             // Its end removes them, and does not depend on what they held.
             val ending = JobTransitions.cancel(read[id(1)]!!, 7, limits)!!.changes
--- a/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test
 import java.util.BitSet
 
-/** What is said of a job follows from its own key and the segments of completions, in whatever order they are read. */
+/** The state of a job follows from its own key and the completion segments, in whatever order they are read. */
 class JobTableTest {
     private val id = "j-000001"
     private val key = StoreKeys.job(id)
@@ -40,12 +40,7 @@
     private fun <T> permutations(of: List<T>): List<List<T>> = if (of.isEmpty()) {
         listOf(emptyList())
     } else {
-        of.flatMap { first ->
-            permutations(of - first).map {
-                listOf(first) +
-                    it
-            }
-        }
+        of.flatMap { first -> permutations(of - first).map { listOf(first) + it } }
     }
 
     @Test
@@ -76,10 +71,10 @@
                 accepted(jobs)
                 order.forEach { it(jobs) }
                 val job = jobs[id]!!
-                assertEquals(final, job.outcome)
+                assertEquals(final, job.terminalState)
                 assertNull(JobTransitions.finish(job, 9, limits))
                 assertNull(JobTransitions.cancel(job, 9, limits))
-                assertNull(JobTransitions.handOver(job, BitSet().apply { set(0) }, "b"))
+                assertNull(JobTransitions.reassign(job, BitSet().apply { set(0) }, "b"))
             }
         }
     }
--- a/src/test/kotlin/io/otterknot/leadership/PartitionLeadershipTest.kt
+++ b/src/test/kotlin/io/otterknot/leadership/PartitionLeadershipTest.kt
@@ -398,11 +398,11 @@
         job("j-2", null)
         assertEquals(listOf("j-1"), segment(mapOf("j-1" to "Aw")))
         assertEquals(listOf("j-2"), segment(mapOf("j-1" to "Aw", "j-2" to "DA")))
-        assertEquals(listOf(2, 2), listOf(table["j-1"]!!.done.cardinality(), table["j-2"]!!.done.cardinality()))
+        assertEquals(listOf(2, 2), listOf("j-1", "j-2").map { table[it]!!.completedTasks.cardinality() })
         job("j-1", TerminalState.CANCELLED)
-        assertTrue(!table.isStillNeeded("j-1") && table.isStillNeeded("j-2") && table.isStillNeeded("j-3.1"))
+        assertTrue(!table.isBitmapNeeded("j-1") && table.isBitmapNeeded("j-2") && table.isBitmapNeeded("j-3.1"))
         assertEquals(listOf("j-2"), segment(mapOf("j-1" to "Dw", "j-2" to "Dw")))
-        assertTrue(table["j-2"]!!.complete)
+        assertTrue(table["j-2"]!!.isComplete)
     }
 
     @ParameterizedTest
--- a/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
@@ -191,7 +191,7 @@
         val start = partition.hear("m1", 7, 10).starts().single()
         assertTrue(partition.hear("m1", 7, 20, start.shown(TaskState.EXITED, ExitCause.DONE)).commands().isEmpty())
         assertTrue(partition.job(job.id)!!.unrecordedCompletions.get(0))
-        job.done.set(0)
+        job.completedTasks.set(0)
         partition.applyCompletions(job)
         assertEquals(
             listOf(CommandOperation.FORGET),
--- a/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
@@ -73,7 +73,7 @@
     @Test
     fun `records as they are written now are what production expects, without what it drops`() {
         val job = Job("j-000412").also { it.applyRecord(decodeRecord(JobRecord.serializer(), productionJob)) }
-        job.done.set(0, job.spec!!.tasks)
+        job.completedTasks.set(0, job.spec!!.tasks)
         val end = JobTransitions.finish(job, 5_000, WriteLimits(2_048, 6))!!.changes.single()
         assertEquals(json("""{"a":[],"t":0,"x":"d","c":16}"""), ProductionVersionTransport.record(end.key, end.value!!))
         val waiting = JobRecord(
@@ -133,7 +133,7 @@
                 ),
             )
         }
-        assertEquals(tasks, table["j-1"]!!.done)
+        assertEquals(tasks, table["j-1"]!!.completedTasks)
         assertEquals(
             CompletionSegmentRecord(mapOf("j-2" to "Aw")),
             decodeRecord(CompletionSegmentRecord.serializer(), ProductionVersionTransport.record("o/d/a/7-0", value)),
--- a/src/test/kotlin/io/otterknot/testing/StoreFixture.kt
+++ b/src/test/kotlin/io/otterknot/testing/StoreFixture.kt
@@ -45,7 +45,7 @@
 
 /** The replica now shows [record] under the job's key. */
 fun Job.applyRecord(record: JobRecord, version: Long = 1) {
-    stored = Snapshot(StoreKeys.job(id), record, version)
+    snapshot = Snapshot(StoreKeys.job(id), record, version)
 }
 
 /** A job of [tasks] small tasks that run for a second. */
