--- a/src/main/kotlin/io/otterknot/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/Autoscaler.kt
@@ -54,7 +54,7 @@
                 val partition = partitions[zone] ?: continue
                 if (ownership.token(zone) != partition.fencingToken) continue
                 partition.machines.forEach { coming.remove(it.id) }
-                release(partition.unresponsiveMachines(nowMs(), maxOf(HUNG_REPORTS * reportMs, HUNG_MS)), "hung")
+                release(partition.fleet.unresponsive(nowMs(), maxOf(HUNG_REPORTS * reportMs, HUNG_MS)), "hung")
                 returnUnreachable(partition)
                 partition.machines.forEach { it.drainingForScaleIn = false }
                 val view = view(partition)
@@ -133,7 +133,7 @@
             if (!machine.spot) ordinary += machine.type.cores
         }
         // Machines that an earlier owner had are heard of only by and by: before that, all would seem to be missing.
-        for (type in partition.unreportedMachineTypes()) {
+        for (type in partition.fleet.unreportedTypes()) {
             val cores = catalog.type(type)?.cores ?: 0.0
             total += cores
             ordinary += cores
@@ -186,7 +186,7 @@
 
     /** Not all at once: should it be the way there that is broken, others would fare no better. */
     private suspend fun returnUnreachable(partition: Partition) {
-        val lost = partition.machinesLosingResponses()
+        val lost = partition.fleet.losingResponses()
         val now = nowMs()
         if (lost.isEmpty() || now - (unreachableMs[partition.zone] ?: Long.MIN_VALUE / 2) < leaseMs) return
         unreachableMs[partition.zone] = now
@@ -210,7 +210,7 @@
         for (id in ids.take(100)) {
             coming.remove(id)
             gone.add(id)
-            partitions.values.forEach { it.machineReleased(id) }
+            partitions.values.forEach { it.fleet.machineReleased(id) }
         }
     }
 
@@ -240,7 +240,7 @@
             for (partition in partitions.values) {
                 partition.machines.filter {
                     it.leaseExpired && it.id !in ids && now - it.lastHeartbeatMs > VANISHED_MS
-                }.forEach { partition.forgetMachine(it.id) }
+                }.forEach { partition.fleet.forget(it.id) }
             }
             release(useless, "failed, silent or never up")
         }
--- a/src/main/kotlin/io/otterknot/controller/PartitionStateWriter.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionStateWriter.kt
@@ -62,12 +62,12 @@
     }
 
     private fun machines(partition: Partition): List<PendingWrite> {
-        val added = partition.unregisteredMachines().associate { it.id to it.type.name }
-        if (added.isEmpty() && partition.releasedMachines.isEmpty()) return emptyList()
+        val added = partition.fleet.unregistered().associate { it.id to it.type.name }
+        if (added.isEmpty() && partition.fleet.released.isEmpty()) return emptyList()
         val stored = replica.machineSegments(partition.zone)
         val changed = RecordSegments.spread(
             stored,
-            partition.releasedMachines,
+            partition.fleet.released,
             added,
             limits.maxRecordBytes / MACHINE_BYTES,
         )
@@ -83,7 +83,7 @@
                 )
             }
             // A machine must be in some segment at any time: what loses one is written after what takes it.
-            val moved = stored[segment].orEmpty().keys - types.keys - partition.releasedMachines
+            val moved = stored[segment].orEmpty().keys - types.keys - partition.fleet.released
             val after = if (moved.isEmpty()) emptySet() else earlier.toSet()
             earlier.add(key)
             PendingWrite(key, value, after)
@@ -95,7 +95,7 @@
         val now = nowMs()
         if (now - (meanSentMs[partition.zone] ?: Long.MIN_VALUE / 2) < MEAN_EVERY_MS) return null
         val key = StoreKeys.partitionLoad(partition.zone)
-        val needs = limitedTeams.associateWith { partition.quotaNeed(it) }.filterValues { it.cores > 0 || it.cards > 0 }
+        val needs = limitedTeams.associateWith { partition.quota.need(it) }.filterValues { it.cores > 0 || it.cards > 0 }
         val current = PartitionLoadRecord(
             mean = round(partition.load.mean()),
             cores = partition.load.totalCores,
--- a/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
+++ b/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
@@ -64,7 +64,7 @@
 
     private fun machinesChanged(zone: String) {
         machines.changed(zone)
-        partitions[zone]?.updateRegisteredMachines(machines.of(zone).keys)
+        partitions[zone]?.fleet?.updateRegistered(machines.of(zone).keys)
     }
 
     private fun typesChanged(entry: ReplicaEntry?) {
--- a/src/main/kotlin/io/otterknot/partition/MachineHealth.kt
+++ b/src/main/kotlin/io/otterknot/partition/MachineHealth.kt
@@ -37,7 +37,7 @@
 
     /** Where many machines are silent, the fault is rather in the network or in this controller. */
     private fun areOthersResponsive(leased: List<Machine>, silentCount: Int, now: Long, timeoutMs: Long): Boolean {
-        if (leased.size < MIN_LEASED_MACHINES || silentCount * 3 > leased.size) return false
+        if (leased.size < MIN_LEASED_MACHINES || silentCount * MIN_LEASED_FOR_EACH_SILENT > leased.size) return false
         val recentCount = leased.count { now - it.lastHeartbeatMs < timeoutMs / 2 }
         return recentCount * 2 >= leased.size
     }
@@ -47,10 +47,10 @@
      * at any time, and they hold up all its waiting tasks: when so few are missing, the wait for them is shorter.
      */
     private fun neverReported(sinceAcquisitionMs: Long, timeoutMs: Long, leasedCount: Int): Collection<String> {
-        if (unreconciled.size * 3 > leasedCount) return emptyList()
+        if (unreconciled.size * MIN_LEASED_FOR_EACH_SILENT > leasedCount) return emptyList()
         val missing = unreconciled.filter { machines[it] == null }.keys
         val areFew = missing.size * MIN_LEASED_FOR_EACH_MISSING <= leasedCount
-        val waitMs = if (areFew) timeoutMs * 2 / 3 else timeoutMs
+        val waitMs = if (areFew) timeoutMs * FEW_MISSING_WAIT_NUMERATOR / FEW_MISSING_WAIT_DENOMINATOR else timeoutMs
         return if (sinceAcquisitionMs < waitMs) emptyList() else missing
     }
 
@@ -62,6 +62,13 @@
         /** Among fewer machines nobody can say whether silence is the machine's fault. */
         const val MIN_LEASED_MACHINES = 3
 
+        /** Silence of more than one machine in so many is no fault of these machines. */
+        const val MIN_LEASED_FOR_EACH_SILENT = 3
+
+        /** The part of the timeout after which few missing machines are given up. */
+        const val FEW_MISSING_WAIT_NUMERATOR = 2
+        const val FEW_MISSING_WAIT_DENOMINATOR = 3
+
         /** Missing machines are few if there are at least so many that report for each of them. */
         const val MIN_LEASED_FOR_EACH_MISSING = 50
         const val MIN_LOST_RESPONSES_TO_RELEASE = 5
--- a/src/main/kotlin/io/otterknot/partition/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -1,12 +1,10 @@
 package io.otterknot.partition
 
 import io.otterknot.jobs.Job
-import io.otterknot.records.QuotaAmount
 import io.otterknot.scheduling.Attempt
 import io.otterknot.scheduling.ImageCounts
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
-import io.otterknot.scheduling.Resources
 import io.otterknot.scheduling.Scheduler
 import io.otterknot.wire.Heartbeat
 import io.otterknot.wire.MachineType
@@ -66,6 +64,12 @@
     private val heartbeats =
         HeartbeatProcessor(term, leases, machineTypes, books, reconciliation, reconciler, scheduler)
 
+    /** Registration, release and health of the machines. */
+    val fleet = PartitionFleet(books, lifecycle, reconciliation, trigger)
+
+    /** Quota shares of the teams. */
+    val quota = PartitionQuota(zone, teams, jobBook, reconciliation, trigger)
+
     /** What the machines and jobs of this partition add up to. */
     val load = PartitionLoad(machineBook, jobBook, teams)
 
@@ -84,9 +88,6 @@
     /** Jobs that are ready and not over, and of which tasks belong here. */
     val jobs: List<PartitionJob> get() = jobBook.all
 
-    /** Registered machines that the cloud has released; their ids are never used again, so their keys may go too. */
-    val releasedMachines: Set<String> get() = machineBook.released
-
     fun machine(id: String): Machine? = machineBook[id]
 
     fun job(id: String): PartitionJob? = jobBook[id]
@@ -122,30 +123,6 @@
     /** See [FailoverReconciliation.mayTransferLeadership]. */
     fun mayTransferLeadership(now: Long): Boolean = reconciliation.mayTransferLeadership(now)
 
-    /** Takes over which machines are registered now. */
-    fun updateRegisteredMachines(ids: Set<String>) {
-        if (machineBook.updateRegistered(ids)) trigger.requestFullPass()
-    }
-
-    /** Machines that report here and must be registered before they may get a task. */
-    fun unregisteredMachines(): List<Machine> = machineBook.unregistered()
-
-    /** The types of machines that an earlier leader had registered and that have not reported yet. */
-    fun unreportedMachineTypes(): List<String> = reconciliation.unreportedMachineTypes()
-
-    /** See [MachineLifecycle.release]. */
-    fun machineReleased(id: String) = lifecycle.release(id)
-
-    /** See [MachineLifecycle.forget]. */
-    fun forgetMachine(id: String) = lifecycle.forget(id)
-
-    /** Machines to be released: silent for [timeoutMs] while others report, they hold up tasks or reconciliation. */
-    fun unresponsiveMachines(now: Long, timeoutMs: Long): List<String> =
-        health.unresponsive(now, timeoutMs, reconciliation.acquiredMsWhileInDoubt)
-
-    /** Machines to be released: they report, but the responses to them are lost again and again. */
-    fun machinesLosingResponses(): List<String> = health.losingResponses()
-
     /** Jobs with waiting tasks, the most urgent first. */
     fun pendingJobsInOrder(now: Long): List<PartitionJob> = scheduler.order.sorted(jobs, now)
 
@@ -167,18 +144,4 @@
         }
         if (hasChanged) trigger.requestFullPass()
     }
-
-    /** What the booked tasks of a team take here. */
-    fun usage(team: Int): Resources = teams.usage(team)
-
-    fun setQuotaShare(team: String, quotaShare: QuotaAmount) {
-        if (teams.setQuotaShare(team, quotaShare)) trigger.requestFullPass()
-    }
-
-    /** See [TeamQuotaLedger.need]. */
-    fun quotaNeed(team: String): QuotaAmount = teams.need(team, jobs)
-
-    /** What this partition can give of a team's quota share to the partition of [toZone]; nothing while in doubt. */
-    fun spareQuota(team: String, toZone: String): QuotaAmount =
-        if (reconciled) teams.spare(team, jobs, toEarlierZone = toZone < zone) else QuotaAmount()
 }
--- a/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
+++ b/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
@@ -54,7 +54,7 @@
             if (partition.zone to team !in
                 giving
             ) {
-                partition.setQuotaShare(team, record.byZone[partition.zone] ?: QuotaAmount())
+                partition.quota.setShare(team, record.byZone[partition.zone] ?: QuotaAmount())
             }
         }
     }
@@ -73,7 +73,7 @@
         val receiver = views.values.firstOrNull { it.zone != partition.zone && team in it.needs } ?: return
         val need = receiver.needs.getValue(team)
         val to = receiver.zone
-        val spare = partition.spareQuota(team, to)
+        val spare = partition.quota.spare(team, to)
         val amount = QuotaAmount(minOf(spare.cores, need.cores), minOf(spare.cards, need.cards))
         if (amount.cores < LEAST && amount.cards < LEAST) return
         give(partition, team, to, amount)
@@ -87,7 +87,7 @@
         val change = CompareAndSwap.put(stored, value)
         if (!limits.fits(change)) return
         giving.add(partition.zone to team)
-        partition.setQuotaShare(team, mine - amount)
+        partition.quota.setShare(team, mine - amount)
         try {
             val settled = txn.settle(partition, change)
             log.info("{} gives {} of {} to {}: {}", partition.zone, amount, team, to, settled)
--- a/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
@@ -75,7 +75,7 @@
 
     private fun team(partition: Partition, index: Int): TeamPressure {
         val waiting = partition.waitingWork.ofTeam(index)
-        return TeamPressure(partition.usage(index), waiting.resources.cores, waiting.oldestReadyMs)
+        return TeamPressure(partition.quota.usage(index), waiting.resources.cores, waiting.oldestReadyMs)
     }
 
     private fun published(view: PartitionView): PartitionPressure {
--- a/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
@@ -85,7 +85,7 @@
     /** A machine that is known, registered and idle. */
     private fun Partition.ready(vararg machines: String) {
         machines.forEach { hear(it, fencingToken, 1) }
-        updateRegisteredMachines(this.machines.map { it.id }.toSet())
+        fleet.updateRegistered(this.machines.map { it.id }.toSet())
     }
 
     @Test
@@ -114,7 +114,7 @@
             partition.hear("m1", 7, 100)
             partition.sweep(10_000)
             assertTrue(!partition.reconciled)
-            if (released) partition.machineReleased("gone")
+            if (released) partition.fleet.machineReleased("gone")
             partition.sweep(if (released) 10_000 else 10_800)
             assertEquals(1, partition.hear("m1", 7, 10_900).starts().size)
         }
@@ -220,14 +220,14 @@
     fun `a team keeps to its allotment, also while a machine is not known yet`() {
         val partition = partition(listOf("unknown"), limit = 10.0)
         partition.hear("m1", 7, 1)
-        partition.updateRegisteredMachines(setOf("m1", "unknown"))
+        partition.fleet.updateRegistered(setOf("m1", "unknown"))
         partition.updateJob(job(1, 4), inherited = false)
         assertEquals(
             1,
             partition.hear("m1", 7, 10).starts().size,
             "eight of ten cores may be in use on the unknown machine",
         )
-        partition.machineReleased("unknown")
+        partition.fleet.machineReleased("unknown")
         partition.sweep(20)
         assertEquals(4, partition.hear("m1", 7, 30).starts().size)
         partition.updateJob(job(2, 4), inherited = false)
@@ -272,13 +272,13 @@
         job.applyRecord(JobRecord(final = TerminalState.CANCELLED), 2)
         partition.updateJob(job, inherited = false)
         partition.sweep(9_000)
-        assertEquals(emptyList<String>(), partition.unresponsiveMachines(9_000, 20_000))
+        assertEquals(emptyList<String>(), partition.fleet.unresponsive(9_000, 20_000))
         partition.sweep(10_900)
-        assertEquals(listOf("m1", "m2"), partition.unresponsiveMachines(10_900, 20_000).sorted())
+        assertEquals(listOf("m1", "m2"), partition.fleet.unresponsive(10_900, 20_000).sorted())
         partition.hear("m1", 7, 11_000, session = 2, seq = 1)
-        assertEquals(listOf("m2"), partition.unresponsiveMachines(11_000, 20_000), "it is back, with nothing")
-        partition.machineReleased("m2")
-        assertEquals(emptyList<String>(), partition.unresponsiveMachines(11_000, 20_000))
+        assertEquals(listOf("m2"), partition.fleet.unresponsive(11_000, 20_000), "it is back, with nothing")
+        partition.fleet.machineReleased("m2")
+        assertEquals(emptyList<String>(), partition.fleet.unresponsive(11_000, 20_000))
     }
 
     @Test
@@ -373,7 +373,7 @@
         val partition = partition(ids)
         partition.updateJob(job(1, 1), inherited = true)
         ids.drop(missing).forEach { partition.hear(it, 7, now - 500) }
-        assertEquals(ids.take(returned), partition.unresponsiveMachines(now, 7_500).sorted())
+        assertEquals(ids.take(returned), partition.fleet.unresponsive(now, 7_500).sorted())
         assertTrue(!partition.reconciled)
     }
 
@@ -449,11 +449,11 @@
             if (now > 3_000) assertTrue(partition.machines.first { it.id == "deaf" }.losesResponses)
         }
         assertTrue(tries <= 7, "$tries")
-        assertTrue("deaf" in partition.machinesLosingResponses())
+        assertTrue("deaf" in partition.fleet.losingResponses())
         partition.sweep(12_100, isLeaderSlow = true)
         assertEquals(
             emptyList<String>(),
-            partition.machinesLosingResponses(),
+            partition.fleet.losingResponses(),
             "this node is slow, and no machine to blame",
         )
         val alone = partition()
@@ -473,7 +473,7 @@
             }
             alone.sweep(now)
         }
-        assertEquals(listOf("deaf"), alone.machinesLosingResponses())
+        assertEquals(listOf("deaf"), alone.fleet.losingResponses())
     }
 
     @Test
@@ -489,7 +489,7 @@
         }
         partition.hear(start.first, 7, 20, start.second.shown())
         val seen = seqs.getValue(start.first)
-        for (leave in listOf<(String) -> Unit>(partition::forgetMachine, partition::machineReleased)) {
+        for (leave in listOf<(String) -> Unit>(partition.fleet::forget, partition.fleet::machineReleased)) {
             leave(start.first)
             assertEquals(HeartbeatDecision.Stale, partition.hear(start.first, 7, 30, start.second.shown(), seq = seen))
             assertEquals(null, partition.machine(start.first))
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
@@ -68,7 +68,7 @@
         partition.updateJob(job(1, 4, "red", checkpointS = checkpointS), inherited = false)
         val machines = listOf("m1", "m2")
         machines.forEach { partition.hear(it, 2) }
-        partition.updateRegisteredMachines(machines.toSet())
+        partition.fleet.updateRegistered(machines.toSet())
         return machines.associateWith { machine ->
             val starts = partition.hear(machine, 10).filter { it.op == CommandOperation.START }
             partition.hear(machine, 1_000, *starts.map { it.shown() }.toTypedArray())
@@ -255,7 +255,7 @@
         partition.sweep(1)
         val names = List(machines) { "m-$it" }
         names.forEach { partition.hear(it, 2) }
-        partition.updateRegisteredMachines(names.toSet())
+        partition.fleet.updateRegistered(names.toSet())
         partition.updateJob(job(1, machines * 2, "red"), inherited = false)
         partition.waitingWork.follow(partition.jobs)
         val starts = names.associateWith { name -> partition.hear(name, 10).filter { it.op == CommandOperation.START } }
