--- a/src/main/kotlin/io/otterknot/cli/Main.kt
+++ b/src/main/kotlin/io/otterknot/cli/Main.kt
@@ -171,22 +171,24 @@
         random,
         nowMs = { System.nanoTime() / 1_000_000 },
         wallMs = System::currentTimeMillis,
-        operators = { operators?.current ?: ALL_OFF },
+        operatorSettings = { operators?.current ?: ALL_OFF },
     )
     val server =
         HttpServer(
             loop,
             maxOf(32, settings.facts.machineLimits.fdLimit * 4 / 5),
             MAX_BODY_BYTES,
-            handler = controller::route,
+            handler = controller::handleRequest,
         )
     launch { controller.run() }
     if (operators != null) launch { operators.follow() }
-    launch { PeerServer(loop, controller::peer).serve(this, HostPort.parse("peer_listen", settings.peerListen)) }
+    launch {
+        PeerServer(loop, controller::handlePeerRequest).serve(this, HostPort.parse("peer_listen", settings.peerListen))
+    }
     // Hundreds of workers look for an owner after a crash. Telling each that nothing is known yet would take the little
     // processor time that reading the state needs; a refused connection costs next to nothing and sends them on as
     // well.
-    withTimeoutOrNull(LATEST_BIND_MS) { controller.loaded() }
+    withTimeoutOrNull(LATEST_BIND_MS) { controller.awaitLoaded() }
     val listener = server.bind(HostPort.parse("bind", settings.bind))
     LoggerFactory.getLogger("otterknot").info("{} in {} listens on {}", settings.label, settings.domain, settings.bind)
     server.serve(this, listener)
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/controller/BackgroundTasks.kt
@@ -0,0 +1,42 @@
+package io.otterknot.controller
+
+import kotlinx.coroutines.CancellationException
+import kotlinx.coroutines.CoroutineName
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.Job
+import kotlinx.coroutines.coroutineScope
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import org.slf4j.LoggerFactory
+
+/**
+ * Supervises the background tasks of a controller, each a named coroutine in [scope]. A task that fails, or returns, is
+ * started again after [RESTART_DELAY_MS]: no other controller does its work. Cancelling the scope ends all of them.
+ */
+class BackgroundTasks(private val scope: CoroutineScope) {
+    private val log = LoggerFactory.getLogger(BackgroundTasks::class.java)
+
+    /** Starts [task]. Tasks first run in the order in which they are started. */
+    fun start(name: String, task: suspend () -> Unit): Job = scope.launch(CoroutineName(name)) {
+        while (true) {
+            runLoggingFailure(name, task)
+            delay(RESTART_DELAY_MS)
+        }
+    }
+
+    /** Any exception but cancellation is logged with its cause; coroutines that the task has started end with it. */
+    @Suppress("TooGenericExceptionCaught") // Whatever ends a task, no other controller does its work.
+    private suspend fun runLoggingFailure(name: String, task: suspend () -> Unit) {
+        try {
+            coroutineScope { task() }
+        } catch (e: CancellationException) {
+            throw e
+        } catch (e: Exception) {
+            log.error("background_task={} restart_delay_ms={} failed", name, RESTART_DELAY_MS, e)
+        }
+    }
+
+    private companion object {
+        const val RESTART_DELAY_MS = 500L
+    }
+}
--- a/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
+++ b/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
@@ -1,39 +1,49 @@
 package io.otterknot.controller
 
-import io.otterknot.ratelimit.RateLimiter
+import io.otterknot.autoscaling.MachineTypeCatalog
 import io.otterknot.records.StoreKeys
 import io.otterknot.records.decodeRecord
 import io.otterknot.records.encodeRecord
 import io.otterknot.store.CompareAndSwap
-import io.otterknot.store.KeyValueStoreClient
-import io.otterknot.store.StoreReplica
-import io.otterknot.store.WriteLimits
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.MachineTypes
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.withTimeoutOrNull
 import org.slf4j.LoggerFactory
 
-/** Keeps what the cloud offers for controllers that start while it is away. */
-class MachineTypeRecorder(
-    private val client: KeyValueStoreClient,
-    private val replica: StoreReplica,
-    private val budget: RateLimiter,
-    private val limits: WriteLimits,
-) {
+/** Keeps the record of what the cloud offers, for controllers that start while the cloud is unavailable. */
+class MachineTypeRecorder(private val store: StoreAccess, private val catalog: MachineTypeCatalog) {
     private val log = LoggerFactory.getLogger(MachineTypeRecorder::class.java)
 
-    suspend fun record(offered: List<MachineType>) {
-        replica.awaitLoaded()
-        val stored = replica.snapshot(StoreKeys.MACHINE_TYPES)
-        val known = stored.value?.let { decodeRecord(MachineTypes.serializer(), it).types }.orEmpty()
-        if (withoutPrices(known) == withoutPrices(offered)) return
+    /** Asks the cloud for its machine types and records changes, until cancelled. */
+    suspend fun run() {
+        // Recorded types will do for the first seconds of a start, when there is most to do.
+        withTimeoutOrNull(LOAD_TIMEOUT_MS) { store.replica.awaitLoaded() }
+        if (catalog.types != null) delay(FIRST_REFRESH_DELAY_MS)
+        catalog.learn(::record)
+    }
+
+    private suspend fun record(offered: List<MachineType>) {
+        store.replica.awaitLoaded()
+        val stored = store.replica.snapshot(StoreKeys.MACHINE_TYPES)
+        val recorded = stored.value?.let { decodeRecord(MachineTypes.serializer(), it).types }.orEmpty()
+        if (withoutPrices(recorded) == withoutPrices(offered)) return
         val change = CompareAndSwap.put(stored, encodeRecord(MachineTypes.serializer(), MachineTypes(offered)))
-        if (!limits.fits(change)) return
-        budget.acquire(1)
-        // One of the nodes that try succeeds; whatever else comes of it, the next answer of the cloud tries again.
-        val outcome = client.transact(change)
-        log.debug("machine types written: {}", outcome)
+        if (!store.limits.fits(change)) return
+        store.client.rateLimiter.acquire(1)
+        // One of the controllers that try succeeds; whatever else happens, the cloud's next answer leads here again.
+        val outcome = store.client.transact(change)
+        log.debug("machine types written outcome={}", outcome)
     }
 
     /** Prices alone are no reason to write. */
     private fun withoutPrices(types: List<MachineType>) = types.map { it.copy(price = 0.0, spotPrice = 0.0) }
+
+    private companion object {
+        /** How long to wait for recorded types before the cloud is asked all the same. */
+        const val LOAD_TIMEOUT_MS = 4_000L
+
+        /** How long recorded types are used before the cloud is asked for the first time. */
+        const val FIRST_REFRESH_DELAY_MS = 10_000L
+    }
 }
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/controller/PeerRequestHandler.kt
@@ -0,0 +1,52 @@
+package io.otterknot.controller
+
+import io.otterknot.http.Reply
+import io.otterknot.http.Transport
+import io.otterknot.leadership.PartitionLeadership
+import io.otterknot.partition.Partition
+import io.otterknot.peer.IdlePartitions
+import io.otterknot.peer.PeerMessage
+import io.otterknot.store.StoreHealth
+
+/** Answers the requests of other controllers. Owns no state; runs on the thread of the event loop like everything. */
+class PeerRequestHandler(
+    private val leadership: PartitionLeadership,
+    private val partitions: Map<String, Partition>,
+    private val idlePartitions: IdlePartitions,
+    private val storeHealth: StoreHealth,
+    private val store: Transport,
+    private val nowMs: () -> Long,
+) {
+    suspend fun handle(request: PeerMessage): PeerMessage = when (request) {
+        is PeerMessage.RelayRequest -> relayToStore(request)
+
+        is PeerMessage.TransferLeadership -> {
+            transferLeadership(request)
+            idlePartitions.respondTo(request, nowMs())
+        }
+
+        PeerMessage.IdlePartitionQuery,
+        is PeerMessage.IdlePartitionAnnouncement,
+        is PeerMessage.IdleAnnouncementWithdrawn,
+        -> idlePartitions.respondTo(request, nowMs())
+
+        // No requests of this version: they change nothing, and are answered so that the connection stays open.
+        is PeerMessage.IdlePartitionCount,
+        is PeerMessage.RelayResponse,
+        is PeerMessage.Unknown,
+        -> idlePartitions.respondTo(request, nowMs())
+    }
+
+    private suspend fun transferLeadership(request: PeerMessage.TransferLeadership) {
+        val mayTransfer = partitions[request.zone]?.mayTransferLeadership(nowMs()) == true
+        if (mayTransfer) leadership.transferLeadership(request.zone, request.ledPartitions)
+    }
+
+    /** Asks the store for a peer, which has already taken the request out of its own rate limit. */
+    private suspend fun relayToStore(request: PeerMessage.RelayRequest): PeerMessage {
+        if (!storeHealth.isAnswering) return PeerMessage.RelayResponse.UNANSWERED
+        val reply = store.call(request.method, request.target, request.body, request.timeoutMs.toLong())
+        if (reply !is Reply.Answer) return PeerMessage.RelayResponse.UNANSWERED
+        return PeerMessage.RelayResponse(reply.status, reply.body)
+    }
+}
--- a/src/main/kotlin/io/otterknot/controller/RegisteredMachines.kt
+++ b/src/main/kotlin/io/otterknot/controller/RegisteredMachines.kt
@@ -5,19 +5,22 @@
 import io.otterknot.records.decodeRecord
 import io.otterknot.store.StoreReplica
 
-/** The machines that may hold tasks of each partition, with their types, as the replica has them. */
+/**
+ * The machines that may hold tasks of each partition, with their types, as the replica shows them. Owns a cache of
+ * them by zone, which [ReplicaChangeDispatcher] alone invalidates.
+ */
 class RegisteredMachines(private val replica: StoreReplica) {
-    /** As last read from the replica, until that changes. */
     private val byZone = HashMap<String, Map<String, String>>()
 
-    fun of(zone: String): Map<String, String> = byZone.getOrPut(zone) {
+    /** The names of the machine types by machine. */
+    fun typesByMachine(zone: String): Map<String, String> = byZone.getOrPut(zone) {
         val types = HashMap<String, String>()
         replica.machineSegments(zone).values.forEach(types::putAll)
         types
     }
 
     /** Some segment of [zone] has changed. */
-    fun changed(zone: String) {
+    fun invalidate(zone: String) {
         byZone.remove(zone)
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
+++ b/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
@@ -13,40 +13,31 @@
 import io.otterknot.store.ReplicaEntry
 import io.otterknot.wire.MachineTypes
 
-/** Tells each change of the replica to what depends on it. */
+/**
+ * Passes each change of the replica on to the owners of the state that depends on it, in the order of the changes. Owns
+ * no state; the replica's only listener.
+ */
 class ReplicaChangeDispatcher(
     private val jobs: JobTable,
     private val partitions: Map<String, Partition>,
     private val machines: RegisteredMachines,
-    private val ownership: PartitionLeadership,
+    private val leadership: PartitionLeadership,
     private val catalog: MachineTypeCatalog,
-    private val allotments: QuotaShares,
+    private val quotaShares: QuotaShares,
     private val views: Map<String, PartitionView>,
 ) {
     /** [entry] is null for a removed key. */
-    fun changed(key: String, entry: ReplicaEntry?) {
+    fun applyChange(key: String, entry: ReplicaEntry?) {
         when {
             key.startsWith(StoreKeys.JOBS) -> updateJobs(jobs.applyJobChange(key, entry))
-
             key.startsWith(StoreKeys.DEPENDENCIES) -> updateJobs(jobs.applyDependencySegment(key, entry))
-
             key.startsWith(StoreKeys.COMPLETIONS) -> updateCompletions(jobs.applyCompletionSegment(key, entry))
-
-            key.startsWith(
-                StoreKeys.MACHINES,
-            ) -> machinesChanged(key.removePrefix(StoreKeys.MACHINES).substringBefore('/'))
-
-            key.startsWith(StoreKeys.PARTITIONS) ->
-                ownership.leaderRecordChanged(key.removePrefix(StoreKeys.PARTITIONS), entry?.version)
-
-            key.startsWith(StoreKeys.TAKEOVERS) ->
-                ownership.takeoverMarkers.changed(key.removePrefix(StoreKeys.TAKEOVERS), present = entry != null)
-
-            key == StoreKeys.MACHINE_TYPES -> typesChanged(entry)
-
-            key.startsWith(StoreKeys.QUOTA_SHARES) -> allotments.changed(key.removePrefix(StoreKeys.QUOTA_SHARES))
-
-            key.startsWith(StoreKeys.PARTITION_LOADS) -> meanChanged(key.removePrefix(StoreKeys.PARTITION_LOADS), entry)
+            key.startsWith(StoreKeys.MACHINES) -> updateMachines(key.removePrefix(StoreKeys.MACHINES))
+            key.startsWith(StoreKeys.PARTITIONS) -> updateLeader(key.removePrefix(StoreKeys.PARTITIONS), entry)
+            key.startsWith(StoreKeys.TAKEOVERS) -> updateTakeover(key.removePrefix(StoreKeys.TAKEOVERS), entry)
+            key == StoreKeys.MACHINE_TYPES -> updateMachineTypes(entry)
+            key.startsWith(StoreKeys.QUOTA_SHARES) -> quotaShares.changed(key.removePrefix(StoreKeys.QUOTA_SHARES))
+            key.startsWith(StoreKeys.PARTITION_LOADS) -> updateLoad(key.removePrefix(StoreKeys.PARTITION_LOADS), entry)
         }
     }
 
@@ -62,16 +53,23 @@
         }
     }
 
-    private fun machinesChanged(zone: String) {
-        machines.changed(zone)
-        partitions[zone]?.fleet?.updateRegistered(machines.of(zone).keys)
+    /** [segment] is the zone and the number of a segment of its machines, with a slash between. */
+    private fun updateMachines(segment: String) {
+        val zone = segment.substringBefore('/')
+        machines.invalidate(zone)
+        partitions[zone]?.fleet?.updateRegistered(machines.typesByMachine(zone).keys)
     }
 
-    private fun typesChanged(entry: ReplicaEntry?) {
+    private fun updateLeader(zone: String, entry: ReplicaEntry?) = leadership.leaderRecordChanged(zone, entry?.version)
+
+    private fun updateTakeover(zone: String, entry: ReplicaEntry?) =
+        leadership.takeoverMarkers.changed(zone, present = entry != null)
+
+    private fun updateMachineTypes(entry: ReplicaEntry?) {
         if (entry != null) catalog.remembered(decodeRecord(MachineTypes.serializer(), entry.value).types)
     }
 
-    private fun meanChanged(zone: String, entry: ReplicaEntry?) {
+    private fun updateLoad(zone: String, entry: ReplicaEntry?) {
         val view = views[zone] ?: return
         view.update(entry?.let { decodeRecord(PartitionLoadRecord.serializer(), it.value) } ?: NO_LOAD)
     }
--- a/src/main/kotlin/io/otterknot/controller/RequestRouter.kt
+++ b/src/main/kotlin/io/otterknot/controller/RequestRouter.kt
@@ -5,24 +5,27 @@
 import io.otterknot.http.HttpRequest
 import io.otterknot.http.HttpResponse
 
-/** Hands a request of a user, a worker or the load balancer to what answers it, by path and method. */
-class RequestRouter(private val users: JobApi, private val reports: HeartbeatEndpoint) {
+/** Passes a request of a user, a worker or the load balancer to the endpoint that answers it, by path and method. */
+class RequestRouter(private val jobApi: JobApi, private val heartbeats: HeartbeatEndpoint) {
     suspend fun route(request: HttpRequest): HttpResponse {
         val path = request.path
-        if (path == "/v1/report") return allow(request, "POST") { reports.handle(request.body) }
-        if (path == "/ready") return allow(request, "GET") { users.ready() }
-        if (path == "/submissions") return allow(request, "POST") { users.submit(request.body) }
-        if (path.startsWith(JOB_PATH)) return routeJob(request, path.removePrefix(JOB_PATH))
-        return unknownPath()
+        return when {
+            path == HEARTBEAT_PATH -> allow(request, "POST") { heartbeats.handle(request.body) }
+            path == READINESS_PATH -> allow(request, "GET") { jobApi.ready() }
+            path == JOBS_PATH -> allow(request, "POST") { jobApi.submit(request.body) }
+            path.startsWith(JOB_PREFIX) -> routeJob(request, path.removePrefix(JOB_PREFIX))
+            else -> unknownPath()
+        }
     }
 
-    /** [rest] is the path after `/submissions/`. */
-    private suspend fun routeJob(request: HttpRequest, rest: String): HttpResponse {
-        if (rest.endsWith(WITHDRAW) && rest.length > WITHDRAW.length) {
-            return allow(request, "POST") { users.withdraw(rest.removeSuffix(WITHDRAW)) }
+    /** [subPath] is what follows [JOB_PREFIX]. */
+    private suspend fun routeJob(request: HttpRequest, subPath: String): HttpResponse {
+        val isCancellation = subPath.endsWith(CANCELLATION_SUFFIX) && subPath.length > CANCELLATION_SUFFIX.length
+        if (isCancellation) {
+            return allow(request, "POST") { jobApi.withdraw(subPath.removeSuffix(CANCELLATION_SUFFIX)) }
         }
-        if ('/' in rest) return unknownPath()
-        return allow(request, "GET") { users.poll(rest) }
+        if ('/' in subPath) return unknownPath()
+        return allow(request, "GET") { jobApi.poll(subPath) }
     }
 
     private fun unknownPath() = HttpResponse.refusal(404, "no such path")
@@ -33,7 +36,10 @@
     }
 
     private companion object {
-        const val JOB_PATH = "/submissions/"
-        const val WITHDRAW = "/withdraw"
+        const val HEARTBEAT_PATH = "/v1/report"
+        const val READINESS_PATH = "/ready"
+        const val JOBS_PATH = "/submissions"
+        const val JOB_PREFIX = "$JOBS_PATH/"
+        const val CANCELLATION_SUFFIX = "/withdraw"
     }
 }
--- a/src/test/kotlin/io/otterknot/cluster/UnusualRequestTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/UnusualRequestTest.kt
@@ -44,7 +44,7 @@
         method: String,
         path: String,
         body: ByteArray = ByteArray(0),
-    ): HttpResponse = controller(nodes.random(random)).route(HttpRequest(method, path, body))
+    ): HttpResponse = controller(nodes.random(random)).handleRequest(HttpRequest(method, path, body))
 
     private fun HttpResponse.state() = WireJson.decodeFromString(JobStatus.serializer(), body.decodeToString()).state
 
--- a/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
+++ b/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
@@ -35,14 +35,14 @@
         val client = bench.client
         val jobs = bench.readJobs()
         val replica = bench.replica
-        val ownership = PartitionLeadership(
+        val leadership = PartitionLeadership(
             "n", listOf("a"), mapOf("n" to "a"), client, replica, 20_000, bench.now, Random(1),
             machines = { emptySet() }, onClaim = { _, _, _ -> }, onLoss = {}, mayClaim = { true },
         )
         launch { replica.followWatch() }
-        launch { ownership.keepStoreLease() }
-        launch { ownership.acquirePartitions() }
-        while (ownership.token("a") == null) delay(50)
+        launch { leadership.keepStoreLease() }
+        launch { leadership.acquirePartitions() }
+        while (leadership.token("a") == null) delay(50)
         val completions = CompletionSegmentRecord(ids.associateWith { "AQ" })
         val done =
             KeyChange(
@@ -52,9 +52,8 @@
         val accepted = ids.map { jobChange(it, JobRecord(smallJob(it), listOf(TaskSpan("a", 0, 1)))) }
         bench.state.store(*accepted.toTypedArray(), done)
         delay(500)
-        val finisher =
-            JobFinalizer(client, replica, jobs, ownership, bench.budget, WriteLimits(8_192, 1), bench.now)
-        val finishing = launch { finisher.finishAll() }
+        val finalizer = JobFinalizer(StoreAccess(client, replica, WriteLimits(8_192, 1)), jobs, leadership, bench.now)
+        val finishing = launch { finalizer.finishAll() }
         // One change at a time, and two of them a second: the last one's turn comes later.
         delay(700)
         bench.state.store(jobChange(ids.last(), JobRecord(final = TerminalState.CANCELLED, tasks = 1)))
--- a/src/test/kotlin/io/otterknot/testing/SimulatedCluster.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedCluster.kt
@@ -148,7 +148,7 @@
 
     private fun peer(from: String, to: String) = PeerTransport { message, timeoutMs ->
         if (from in peerless || to in peerless) return@PeerTransport null
-        serve(to, timeoutMs) { it.peer(message) }
+        serve(to, timeoutMs) { it.handlePeerRequest(message) }
     }
 
     /**
@@ -186,7 +186,7 @@
     suspend fun ask(label: String, method: String, path: String, body: ByteArray, limitMs: Long): HttpResponse? {
         val controller = controllers[label] ?: return null
         delay(1 + random.nextLong(5))
-        val answer = serve(label, limitMs) { it.route(HttpRequest(method, path, body)) }
+        val answer = serve(label, limitMs) { it.handleRequest(HttpRequest(method, path, body)) }
         delay(1 + random.nextLong(5))
         return answer.takeIf { controllers[label] === controller }
     }
