--- a/src/main/kotlin/io/otterknot/api/JobApi.kt
+++ b/src/main/kotlin/io/otterknot/api/JobApi.kt
@@ -167,7 +167,7 @@
     }
 
     private fun tell(job: Job, code: Int): HttpResponse = when (job.terminalState) {
-        TerminalState.DONE -> status(JobStatus(job.id, "done", job.record?.tasks, 0), code)
+        TerminalState.DONE -> status(JobStatus(job.id, "done", job.record?.taskCount, 0), code)
 
         TerminalState.CANCELLED -> status(JobStatus(job.id, "aborted"), code)
 
--- a/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
+++ b/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
@@ -27,7 +27,7 @@
     }
 
     private fun isObsolete(record: CompletionSegmentRecord): Boolean =
-        (record.bits.keys + record.fine?.keys.orEmpty()).none(jobs::isBitmapNeeded)
+        (record.bitmaps.keys + record.fineBitmaps?.keys.orEmpty()).none(jobs::isBitmapNeeded)
 
     private fun additions(partition: Partition, segments: Map<String, CompletionSegmentRecord>): List<PendingWrite> {
         val chunks = changedChunks(partition)
@@ -49,14 +49,14 @@
 
     /** The tasks of one job that share an entry of a segment. */
     private class Chunk(val job: PartitionJob, val index: Int) {
-        val size = TaskBitmaps.chunkOf(job.spec.tasks)
-        val name = TaskBitmaps.name(job.id, index)
+        val size = TaskBitmaps.chunkSize(job.spec.tasks)
+        val name = TaskBitmaps.chunkName(job.id, index)
     }
 
     private fun changedChunks(partition: Partition): List<Chunk> = partition.jobs
         .filterNot { it.unrecordedCompletions.isEmpty }
         .flatMap { job ->
-            val last = (job.unrecordedCompletions.length() - 1) / TaskBitmaps.chunkOf(job.spec.tasks)
+            val last = (job.unrecordedCompletions.length() - 1) / TaskBitmaps.chunkSize(job.spec.tasks)
             (0..last).map { Chunk(job, it) }
         }
 
@@ -70,8 +70,8 @@
 
     /** A segment under construction, which begins with what [record] says of jobs that are not finished. */
     private inner class SegmentBuilder(record: CompletionSegmentRecord) {
-        private val bits = record.bits.filterKeys(jobs::isBitmapNeeded).toMutableMap()
-        private val fineBits = record.fine.orEmpty().filterKeys(jobs::isBitmapNeeded).toMutableMap()
+        private val bits = record.bitmaps.filterKeys(jobs::isBitmapNeeded).toMutableMap()
+        private val fineBits = record.fineBitmaps.orEmpty().filterKeys(jobs::isBitmapNeeded).toMutableMap()
 
         var isChanged = false
             private set
@@ -81,7 +81,7 @@
          * segment too large. An empty segment takes anything.
          */
         fun add(chunk: Chunk): Boolean {
-            val entries = if (chunk.size == TaskBitmaps.CHUNK) bits else fineBits
+            val entries = if (chunk.size == TaskBitmaps.CHUNK_TASKS) bits else fineBits
             val tasks = chunk.job.unrecordedCompletions.clone() as BitSet
             entries[chunk.name]?.let { TaskBitmaps.decodeInto(it, chunk.index, tasks, chunk.size) }
             val text = TaskBitmaps.encode(tasks, chunk.index, chunk.size)
--- a/src/main/kotlin/io/otterknot/controller/MachineSegmentWrites.kt
+++ b/src/main/kotlin/io/otterknot/controller/MachineSegmentWrites.kt
@@ -17,7 +17,7 @@
         if (added.isEmpty() && partition.fleet.released.isEmpty()) return emptyList()
         val stored = replica.machineSegments(partition.zone)
         val segmentSize = limits.maxRecordBytes / BYTES_PER_MACHINE
-        val changed = RecordSegments.spread(stored, partition.fleet.released, added, segmentSize)
+        val changed = RecordSegments.redistribute(stored, partition.fleet.released, added, segmentSize)
         val earlierKeys = LinkedHashSet<String>()
         return changed.map { (segment, types) ->
             val key = StoreKeys.machineSegment(partition.zone, segment)
--- a/src/main/kotlin/io/otterknot/controller/PartitionLoadPublisher.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionLoadPublisher.kt
@@ -40,19 +40,19 @@
     private fun currentLoad(partition: Partition): PartitionLoadRecord {
         val needs = limitedTeams.associateWith { partition.quota.need(it) }.filterValues { it.cores > 0 || it.cards > 0 }
         return PartitionLoadRecord(
-            mean = round(partition.load.mean()),
+            meanLoad = round(partition.load.mean()),
             cores = partition.load.totalCores,
-            ordinaryMean = round(partition.load.ordinaryMean()),
+            ordinaryMeanLoad = round(partition.load.ordinaryMean()),
             ordinaryCores = partition.load.ordinaryCores,
-            needs = needs,
+            quotaNeeds = needs,
             pressure = pressureOf(partition),
         )
     }
 
     private fun isClose(published: PartitionLoadRecord, current: PartitionLoadRecord): Boolean =
-        abs(published.mean - current.mean) < MIN_CHANGE &&
-            abs(published.ordinaryMean - current.ordinaryMean) < MIN_CHANGE &&
-            published.needs == current.needs &&
+        abs(published.meanLoad - current.meanLoad) < MIN_CHANGE &&
+            abs(published.ordinaryMeanLoad - current.ordinaryMeanLoad) < MIN_CHANGE &&
+            published.quotaNeeds == current.quotaNeeds &&
             isPressureClose(published.pressure, current.pressure, current.cores)
 
     /** Like the mean: whether no team has changed by a tenth of the partition. */
--- a/src/main/kotlin/io/otterknot/jobs/DependencyGraph.kt
+++ b/src/main/kotlin/io/otterknot/jobs/DependencyGraph.kt
@@ -46,7 +46,7 @@
     /** Adds the edges of an active job, once the whole list of its dependencies has been read. */
     private fun resolveDependencies(dependent: Job) {
         if (dependent.dependencies.jobIds.isNotEmpty()) return
-        val segmentCount = dependent.record?.awaitKeys
+        val segmentCount = dependent.record?.dependencySegments
         val ids = if (segmentCount == null) dependent.spec?.dependencies else joinSegments(dependent, segmentCount)
         if (ids != null) addEdges(dependent, ids.toSet())
     }
--- a/src/main/kotlin/io/otterknot/jobs/Job.kt
+++ b/src/main/kotlin/io/otterknot/jobs/Job.kt
@@ -25,7 +25,7 @@
     val spec: JobSpec? get() = record?.spec
 
     /** The terminal state in the job's record; null: none is recorded. */
-    val recordedTerminalState: TerminalState? get() = record?.final
+    val recordedTerminalState: TerminalState? get() = record?.terminalState
 
     /** The terminal state, recorded or already certain: a job that depends on a cancelled one can never run. */
     val terminalState: TerminalState?
--- a/src/main/kotlin/io/otterknot/jobs/JobTable.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTable.kt
@@ -65,8 +65,8 @@
         val record = decodeRecord(CompletionSegmentRecord.serializer(), entry.value)
         completionSegments[key] = record
         val changed = LinkedHashSet<Job>()
-        applyBitmaps(record.bits, before.bits, TaskBitmaps.CHUNK, changed)
-        applyBitmaps(record.fine.orEmpty(), before.fine.orEmpty(), TaskBitmaps.FINE_CHUNK, changed)
+        applyBitmaps(record.bitmaps, before.bitmaps, TaskBitmaps.CHUNK_TASKS, changed)
+        applyBitmaps(record.fineBitmaps.orEmpty(), before.fineBitmaps.orEmpty(), TaskBitmaps.FINE_CHUNK_TASKS, changed)
         return changed.toList()
     }
 
@@ -75,7 +75,7 @@
         completionSegments.filterKeys { it.startsWith(prefix) }
 
     /** Whether the bitmap of this name in a completion segment must be kept, since its job has not ended. */
-    fun isBitmapNeeded(name: String): Boolean = jobs[TaskBitmaps.job(name)]?.recordedTerminalState == null
+    fun isBitmapNeeded(name: String): Boolean = jobs[TaskBitmaps.jobOf(name)]?.recordedTerminalState == null
 
     private fun getOrCreate(id: String) = jobs.getOrPut(id) { Job(id) }
 
@@ -88,9 +88,9 @@
     ) {
         for ((name, text) in bitmaps) {
             if (earlier[name] == text) continue
-            val job = getOrCreate(TaskBitmaps.job(name))
+            val job = getOrCreate(TaskBitmaps.jobOf(name))
             if (job.recordedTerminalState != null) continue
-            TaskBitmaps.decodeInto(text, TaskBitmaps.chunk(name), job.completedTasks, chunkSize)
+            TaskBitmaps.decodeInto(text, TaskBitmaps.indexOf(name), job.completedTasks, chunkSize)
             changed.add(job)
         }
     }
--- a/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
@@ -50,7 +50,7 @@
         val snapshot = job.snapshot ?: return null
         val record = snapshot.value ?: return null
         if (record.spec == null || job.terminalState != null) return null
-        val spans = TaskSpans.move(record.spans, tasks, zone)
+        val spans = TaskSpans.reassign(record.spans, tasks, zone)
         if (spans.size > MAX_SPANS) return null
         return CompareAndSwap.put(snapshot, encode(record.copy(spans = spans)))
     }
@@ -61,10 +61,11 @@
         limits: WriteLimits,
     ): CompareAndSwap? {
         val spec = record.spec ?: return null
-        val shortened = record.copy(spec = spec.copy(dependencies = null), awaitKeys = segments.size)
+        val shortened = record.copy(spec = spec.copy(dependencies = null), dependencySegments = segments.size)
         val main = create(StoreKeys.job(spec.id), encode(shortened))
         val segmentChanges = segments.mapIndexed { number, segment ->
-            create(StoreKeys.dependencySegment(spec.id, number), encodeRecord(DependencySegmentRecord.serializer(), segment))
+            val value = encodeRecord(DependencySegmentRecord.serializer(), segment)
+            create(StoreKeys.dependencySegment(spec.id, number), value)
         }
         val all = segmentChanges.reduce(CompareAndSwap::plus) + main
         return all.takeIf { limits.fits(main) && fitsOneTransaction(all, limits) }
@@ -82,8 +83,9 @@
     private fun end(job: Job, state: TerminalState, wallMs: Long, limits: WriteLimits): CompareAndSwap? {
         val snapshot = job.snapshot ?: return null
         val record = snapshot.value ?: return null
-        val ended = JobRecord(final = state, tasks = record.spec?.tasks ?: record.tasks, endedMs = wallMs)
-        val removedSegments = minOf(record.awaitKeys ?: 0, limits.maxTransactionChanges - 1)
+        val taskCount = record.spec?.tasks ?: record.taskCount
+        val ended = JobRecord(terminalState = state, taskCount = taskCount, endedMs = wallMs)
+        val removedSegments = minOf(record.dependencySegments ?: 0, limits.maxTransactionChanges - 1)
         return CompareAndSwap.put(snapshot, encode(ended))
             .alsoRemove(List(removedSegments) { StoreKeys.dependencySegment(job.id, it) })
     }
--- a/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
+++ b/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
@@ -72,7 +72,7 @@
     /** The token of [zone] whether or not the fence holds; guards of transactions need no fence. */
     fun acquiredToken(zone: String): Long? = tokens[zone]
 
-    fun leaderOf(zone: String): String? = partitionKey(zone).value?.owner
+    fun leaderOf(zone: String): String? = partitionKey(zone).value?.leader
 
     /** Of all partitions, how many this node may act for now. */
     fun ledPartitionShare(): Double = if (fence.holds(nowMs())) tokens.size.toDouble() / zones.size else 0.0
@@ -239,10 +239,10 @@
         }
         unownedSince.remove(zone)
         // A key with this node's label that this process did not put is a predecessor's: that process is dead.
-        val overriding = holder.owner != label
+        val overriding = holder.leader != label
         if (overriding) {
             if (!monitor.isAbandoned(zone, tokens.size, nowMs())) return
-            log.info("{} does not answer its workers; taking {} over", holder.owner, zone)
+            log.info("{} does not answer its workers; taking {} over", holder.leader, zone)
         }
         claim(zone, before, held, overriding)
     }
--- a/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
+++ b/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
@@ -83,7 +83,7 @@
         val stored = snapshot(team)
         val record = stored.value ?: even(team)
         val mine = record.byZone[partition.zone] ?: return
-        val value = encodeRecord(QuotaSharesRecord.serializer(), record.moved(partition.zone, to, amount))
+        val value = encodeRecord(QuotaSharesRecord.serializer(), record.transferred(partition.zone, to, amount))
         val change = CompareAndSwap.put(stored, value)
         if (!limits.fits(change)) return
         giving.add(partition.zone to team)
--- a/src/main/kotlin/io/otterknot/records/StoreKeys.kt
+++ b/src/main/kotlin/io/otterknot/records/StoreKeys.kt
@@ -1,6 +1,6 @@
 package io.otterknot.records
 
-/** The keys, in the key-value store, under which the controllers keep their state. They are a format: see docs/design.md. */
+/** The keys in the store under which the controllers keep their state. They are a format: see docs/design.md. */
 object StoreKeys {
     /** Prefix of every key. */
     const val ROOT = "o/"
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
@@ -16,11 +16,11 @@
 
     /** Takes over all that the leader of the partition has published; the announced idle machines stay as they are. */
     fun update(record: PartitionLoadRecord) {
-        mean = record.mean
+        mean = record.meanLoad
         cores = record.cores
-        needs = record.needs
+        needs = record.quotaNeeds
         pressure = record.pressure
-        ordinaryMean = record.ordinaryMean
+        ordinaryMean = record.ordinaryMeanLoad
         ordinaryCores = record.ordinaryCores
     }
 
--- a/src/main/kotlin/io/otterknot/store/BatchWriter.kt
+++ b/src/main/kotlin/io/otterknot/store/BatchWriter.kt
@@ -71,13 +71,13 @@
             if (replica[write.key]?.value == write.value) continue
             if (isDeferred(write) || write.dependsOn.any { it in skippedKeys }) {
                 skippedKeys.add(write.key)
-                continue
+            } else {
+                val size = write.key.length * 2 + CHANGE_OVERHEAD_BYTES + write.valueBytes
+                val isTooLarge = batch.isNotEmpty() && bytes + size > MAX_BATCH_BYTES
+                if (batch.size >= maxChanges || isTooLarge) break
+                batch.add(write)
+                bytes += size
             }
-            val size = write.key.length * 2 + CHANGE_OVERHEAD_BYTES + write.valueBytes
-            val isTooLarge = batch.isNotEmpty() && bytes + size > MAX_BATCH_BYTES
-            if (batch.size >= maxChanges || isTooLarge) break
-            batch.add(write)
-            bytes += size
         }
         return batch
     }
--- a/src/main/kotlin/io/otterknot/store/WriteLimits.kt
+++ b/src/main/kotlin/io/otterknot/store/WriteLimits.kt
@@ -59,7 +59,7 @@
     fun withSmallerValues(): WriteLimits =
         WriteLimits(reduced(maxValueBytes), maxTransactionChanges, maxTransactionBytes)
 
-    private fun reduced(bytes: Int): Int = maxOf(MIN_VALUE_BYTES, bytes * 3 / 4)
+    private fun reduced(bytes: Int): Int = maxOf(MIN_VALUE_BYTES, bytes * REDUCTION_NUMERATOR / REDUCTION_DENOMINATOR)
 
     companion object {
         /** The store accepts 64 KiB (PROTOCOL); keys and what surrounds the values take the rest. */
@@ -71,6 +71,10 @@
         /** The share of a value's size that the pieces of a record may take. */
         private const val RECORD_SHARE = 0.8
         private const val MAX_RECORD_BYTES = 4_000
+
+        /** What a refusal leaves of the size of a value: three quarters, in whole bytes. */
+        private const val REDUCTION_NUMERATOR = 3
+        private const val REDUCTION_DENOMINATOR = 4
     }
 }
 
--- a/src/test/kotlin/io/otterknot/api/JobCancellationTest.kt
+++ b/src/test/kotlin/io/otterknot/api/JobCancellationTest.kt
@@ -45,10 +45,10 @@
         val answer = async { api.withdraw(id) }
         delay(100)
         assertTrue(answer.isActive, "it waits")
-        bench.state.store(jobChange(id, JobRecord(final = TerminalState.DONE, tasks = 1)))
+        bench.state.store(jobChange(id, JobRecord(terminalState = TerminalState.DONE, taskCount = 1)))
         assertTrue(answer.await().body.decodeToString().contains("done"))
         val stored = decodeRecord(JobRecord.serializer(), bench.state.value(StoreKeys.job(id))!!)
-        assertEquals(TerminalState.DONE, stored.final, "at ${testScheduler.currentTime} ms")
+        assertEquals(TerminalState.DONE, stored.terminalState, "at ${testScheduler.currentTime} ms")
         background.forEach { it.cancel() }
     }
 }
--- a/src/test/kotlin/io/otterknot/api/SubmissionResponseTest.kt
+++ b/src/test/kotlin/io/otterknot/api/SubmissionResponseTest.kt
@@ -31,7 +31,7 @@
     private val spec = smallJob(id)
 
     private fun recordOf(state: String): JobRecord? = when (state) {
-        "DONE", "CANCELLED" -> JobRecord(final = TerminalState.valueOf(state), tasks = 1)
+        "DONE", "CANCELLED" -> JobRecord(terminalState = TerminalState.valueOf(state), taskCount = 1)
         "OTHERS" -> JobRecord(spec, listOf(TaskSpan("a", 0, 1)), nonce = "another")
         else -> null
     }
--- a/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
+++ b/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
@@ -56,9 +56,11 @@
         val finishing = launch { finalizer.finishAll() }
         // One change at a time, and two of them a second: the last one's turn comes later.
         delay(700)
-        bench.state.store(jobChange(ids.last(), JobRecord(final = TerminalState.CANCELLED, tasks = 1)))
+        bench.state.store(jobChange(ids.last(), JobRecord(terminalState = TerminalState.CANCELLED, taskCount = 1)))
         finishing.join()
-        val finals = ids.map { decodeRecord(JobRecord.serializer(), bench.state.value(StoreKeys.job(it))!!).final }
+        val finals = ids.map {
+            decodeRecord(JobRecord.serializer(), bench.state.value(StoreKeys.job(it))!!).terminalState
+        }
         assertEquals(List(5) { TerminalState.DONE } + TerminalState.CANCELLED, finals)
         currentCoroutineContext().cancelChildren()
     }
--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -72,7 +72,7 @@
     )
 
     private fun end(number: Int, final: TerminalState = TerminalState.DONE) =
-        put(JobRecord(final = final, endedMs = 100_000L + number), number)
+        put(JobRecord(terminalState = final, endedMs = 100_000L + number), number)
 
     private fun isReady(number: Int) = table[id(number)]!!.isReady
 
@@ -106,8 +106,8 @@
                 ReplicaEntry(encodeRecord(JobRecord.serializer(), record), 1),
             )
             val records = mapOf(
-                1 to JobRecord(final = TerminalState.CANCELLED),
-                2 to JobRecord(final = TerminalState.DONE, endedMs = 9),
+                1 to JobRecord(terminalState = TerminalState.CANCELLED),
+                2 to JobRecord(terminalState = TerminalState.DONE, endedMs = 9),
                 3 to JobRecord(spec(3, listOf(1, 2))),
                 4 to JobRecord(spec(4, listOf(3))),
             )
@@ -295,7 +295,10 @@
             // Its end removes them, and does not depend on what they held.
             val ending = JobTransitions.cancel(read[id(1)]!!, 7, limits)!!.changes
             assertEquals(changes.map { it.key }.toSet(), ending.map { it.key }.toSet())
-            assertEquals(TerminalState.CANCELLED, decodeRecord(JobRecord.serializer(), ending.first().value!!).final)
+            assertEquals(
+                TerminalState.CANCELLED,
+                decodeRecord(JobRecord.serializer(), ending.first().value!!).terminalState,
+            )
         }
     }
 }
--- a/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
@@ -59,13 +59,13 @@
         }
     }
 
-    private fun end(value: JsonElement) = decodeRecord(JobRecord.serializer(), value).final
+    private fun end(value: JsonElement) = decodeRecord(JobRecord.serializer(), value).terminalState
 
     /** Neither completions that are read later nor anybody's wish leads away from a final state. */
     @Test
     fun `a job with a final state has no transition left`() {
         for (final in TerminalState.entries) {
-            val ended = record(JobRecord(final = final, tasks = 2), 7)
+            val ended = record(JobRecord(terminalState = final, taskCount = 2), 7)
             for (order in permutations(listOf(firstTask, secondTask, ended))) {
                 val jobs = JobTable()
                 accepted(jobs)
@@ -84,7 +84,7 @@
         val jobs = JobTable()
         accepted(jobs)
         val cancellation = JobTransitions.cancel(jobs[id]!!, 5, limits)!!
-        record(JobRecord(final = TerminalState.DONE, tasks = 2), 6)(jobs)
+        record(JobRecord(terminalState = TerminalState.DONE, taskCount = 2), 6)(jobs)
         assertTrue(cancellation.conditions.single().let { it.key == key && it.version == 1L })
     }
 }
--- a/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
@@ -209,7 +209,7 @@
         partition.updateJob(job, inherited = false)
         val starts = partition.hear("m1", 7, 10).starts()
         assertEquals(4, starts.size)
-        job.applyRecord(JobRecord(final = TerminalState.CANCELLED), 2)
+        job.applyRecord(JobRecord(terminalState = TerminalState.CANCELLED), 2)
         partition.updateJob(job, inherited = false)
         val commands = partition.hear("m1", 7, 20, *starts.map { it.shown() }.toTypedArray()).commands()
         assertEquals(List(4) { CommandOperation.HALT }, commands.map { it.op })
@@ -269,7 +269,7 @@
                 }.toTypedArray(),
             )
         }
-        job.applyRecord(JobRecord(final = TerminalState.CANCELLED), 2)
+        job.applyRecord(JobRecord(terminalState = TerminalState.CANCELLED), 2)
         partition.updateJob(job, inherited = false)
         partition.sweep(9_000)
         assertEquals(emptyList<String>(), partition.fleet.unresponsive(9_000, 20_000))
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
@@ -157,7 +157,7 @@
         val move = move(first)
         partition.updateJob(
             job(1, 4, "red").also {
-                it.applyRecord(JobRecord(final = TerminalState.CANCELLED))
+                it.applyRecord(JobRecord(terminalState = TerminalState.CANCELLED))
             },
             inherited = false,
         )
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -252,7 +252,7 @@
         TaskBitmaps.decodeInto("AQ", 1, read, 4_096)
         TaskBitmaps.decodeInto("AAI", 1, read)
         assertEquals(tasks, read)
-        assertEquals(listOf("j-7", 3), listOf(TaskBitmaps.job("j-7.3"), TaskBitmaps.chunk("j-7.3")))
+        assertEquals(listOf("j-7", 3), listOf(TaskBitmaps.jobOf("j-7.3"), TaskBitmaps.indexOf("j-7.3")))
     }
 
     // ---- requests to the state service and the cloud
@@ -513,11 +513,12 @@
     }
 
     @Test
+    @Suppress("LongMethod") // A list of requests and what each is answered, in the order in which they come.
     fun `users are answered so`() = onNode {
         start()
         bench.state.store(
-            jobChange("j-1", JobRecord(final = TerminalState.DONE, tasks = 16)),
-            jobChange("j-2", JobRecord(final = TerminalState.CANCELLED, tasks = 16)),
+            jobChange("j-1", JobRecord(terminalState = TerminalState.DONE, taskCount = 16)),
+            jobChange("j-2", JobRecord(terminalState = TerminalState.CANCELLED, taskCount = 16)),
         )
         delay(1_000)
         val submission = PROTOCOL_SUBMISSION
@@ -654,7 +655,7 @@
         val running = """"Chores":[{"Chore":"j-2/0","Try":1,"Mood":"running"}]}"""
         val exited = """"Chores":[{"Chore":"j-2/0","Try":1,"Mood":"exited","Cause":"stopped","Saved":false}]}"""
         val before = router.ask("POST /v1/report", """$head"Ripple":1,"Warrant":1,$running""")
-        over.applyRecord(JobRecord(final = TerminalState.CANCELLED, tasks = 1))
+        over.applyRecord(JobRecord(terminalState = TerminalState.CANCELLED, taskCount = 1))
         partitions.getValue("a").updateJob(over, inherited = false)
         val answers = listOf(
             before,
@@ -670,6 +671,7 @@
         assertEquals(expected.joinToString("\n"), answers.joinToString("\n"))
     }
 
+    @Suppress("LargeClass") // The tables of golden formats.
     companion object {
         private val SPANS = listOf(TaskSpan("a", 0, 1))
 
@@ -723,6 +725,7 @@
                 """"Rate":12.0,"SpotPrice":4.5,"ReadyS":45.0,"Reaches":["a","b"]}]}"""
 
         @JvmStatic
+        @Suppress("LongMethod") // A table, one row a format.
         fun messages(): List<Text<*>> = listOf(
             Text(
                 "report",
@@ -912,6 +915,7 @@
         )
 
         @JvmStatic
+        @Suppress("LongMethod") // A table, one row a format.
         fun records(): List<Text<*>> = listOf(
             Text(
                 "job",
@@ -921,9 +925,9 @@
                     spans = listOf(TaskSpan("a", 0, 10), TaskSpan("b", 10, 16)),
                     submittedMs = 1_700_000_000_000,
                     nonce = "1x2y",
-                    final = null,
-                    tasks = 0,
-                    awaitKeys = 2,
+                    terminalState = null,
+                    taskCount = 0,
+                    dependencySegments = 2,
                     endedMs = null,
                 ),
                 """{"s":$SPEC_TEXT,"a":[{"z":"a","f":0,"u":10},{"z":"b","f":10,"u":16}],"t":1700000000000,""" +
@@ -932,31 +936,31 @@
             Text(
                 "job that is done",
                 JobRecord.serializer(),
-                JobRecord(final = TerminalState.DONE, tasks = 16, endedMs = 1_700_000_000_001),
+                JobRecord(terminalState = TerminalState.DONE, taskCount = 16, endedMs = 1_700_000_000_001),
                 """{"a":[],"t":0,"x":"d","c":16,"e":1700000000001}""",
             ),
             Text(
                 "job that is cancelled",
                 JobRecord.serializer(),
-                JobRecord(final = TerminalState.CANCELLED, tasks = 16),
+                JobRecord(terminalState = TerminalState.CANCELLED, taskCount = 16),
                 """{"a":[],"t":0,"x":"a","c":16}""",
                 """{"x":"a","c":16}""",
             ),
             Text(
                 "partition",
                 LeaderRecord.serializer(),
-                LeaderRecord(owner = "holt-0", incarnation = "3k"),
+                LeaderRecord(leader = "holt-0", incarnation = "3k"),
                 """{"o":"holt-0","i":"3k"}""",
             ),
             Text(
                 "mean",
                 PartitionLoadRecord.serializer(),
                 PartitionLoadRecord(
-                    mean = 0.5,
+                    meanLoad = 0.5,
                     cores = 64.0,
-                    ordinaryMean = 0.25,
+                    ordinaryMeanLoad = 0.25,
                     ordinaryCores = 16.0,
-                    needs = mapOf("red" to QuotaAmount(cores = 3.0, cards = 1.0)),
+                    quotaNeeds = mapOf("red" to QuotaAmount(cores = 3.0, cards = 1.0)),
                     pressure = null,
                 ),
                 """{"m":0.5,"c":64.0,"om":0.25,"oc":16.0,"n":{"red":{"c":3.0,"g":1.0}}}""",
@@ -965,11 +969,11 @@
                 "mean with pressure",
                 PartitionLoadRecord.serializer(),
                 PartitionLoadRecord(
-                    mean = 0.5,
+                    meanLoad = 0.5,
                     cores = 64.0,
-                    ordinaryMean = 0.25,
+                    ordinaryMeanLoad = 0.25,
                     ordinaryCores = 16.0,
-                    needs = emptyMap(),
+                    quotaNeeds = emptyMap(),
                     pressure = PressureRecord(
                         teams = mapOf(
                             "red" to TeamPressureRecord(
@@ -1049,6 +1053,7 @@
             entries.map { (entry, name) -> Text("$entry $name", serializer, entry, "\"$name\"") }
 
         @JvmStatic
+        @Suppress("LongMethod") // A table, one row a format.
         fun names(): List<Text<*>> = listOf(
             named(
                 Priority.serializer(),
@@ -1173,6 +1178,7 @@
         )
 
         @JvmStatic
+        @Suppress("LongMethod") // A table, one row a format.
         fun texts(): List<Exact> = listOf(
             Exact("root of all keys", "o/") { StoreKeys.ROOT },
             Exact("keys of jobs", "o/j/") { StoreKeys.JOBS },
@@ -1193,12 +1199,12 @@
             Exact("key of an override", "o/x/a") { StoreKeys.takeoverMarker("a") },
             Exact("key of a mean", "o/s/a") { StoreKeys.partitionLoad("a") },
             Exact("key of an allotment", "o/q/red") { StoreKeys.quotaShares("red") },
-            Exact("name of a chunk", "j-7.3") { TaskBitmaps.name("j-7", 3) },
-            Exact("name of the first chunk", "j-7") { TaskBitmaps.name("j-7", 0) },
+            Exact("name of a chunk", "j-7.3") { TaskBitmaps.chunkName("j-7", 3) },
+            Exact("name of the first chunk", "j-7") { TaskBitmaps.chunkName("j-7", 0) },
             Exact("sizes of chunks", "16384 4096 4096 16384") {
-                "${TaskBitmaps.CHUNK} ${TaskBitmaps.FINE_CHUNK} ${TaskBitmaps.chunkOf(
+                "${TaskBitmaps.CHUNK_TASKS} ${TaskBitmaps.FINE_CHUNK_TASKS} ${TaskBitmaps.chunkSize(
                     4_097,
-                )} ${TaskBitmaps.chunkOf(4_096)}"
+                )} ${TaskBitmaps.chunkSize(4_096)}"
             },
             Exact("name of a task", "j-000412/3") { TaskName("j-000412", 3).toString() },
             Exact("parts of a task's name", "j-000412 3") {
@@ -1525,6 +1531,7 @@
         )
 
         @JvmStatic
+        @Suppress("LongMethod") // A table, one row a format.
         fun moves(): List<Moves> = listOf(
             Moves(
                 "as text",
--- a/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
@@ -35,7 +35,7 @@
         val job = decodeRecord(JobRecord.serializer(), productionJob)
         assertEquals(
             listOf("j-000412", 16, null, null, null),
-            listOf(job.spec!!.id, job.spec!!.tasks, job.spec!!.dependencies, job.awaitKeys, job.endedMs),
+            listOf(job.spec!!.id, job.spec!!.tasks, job.spec!!.dependencies, job.dependencySegments, job.endedMs),
         )
         assertEquals("a", job.homeZone)
         assertEquals(
@@ -44,7 +44,7 @@
             "a handover of a job that awaits nothing brings no new field",
         )
         val final = decodeRecord(JobRecord.serializer(), json("""{"a":[],"t":0,"x":"d","c":16}"""))
-        assertEquals(listOf(TerminalState.DONE, 16, null), listOf(final.final, final.tasks, final.endedMs))
+        assertEquals(listOf(TerminalState.DONE, 16, null), listOf(final.terminalState, final.taskCount, final.endedMs))
         assertEquals(
             CompletionSegmentRecord(mapOf("j-000412" to "Aw")),
             decodeRecord(CompletionSegmentRecord.serializer(), json("""{"d":{"j-000412":"Aw"}}""")),
@@ -84,7 +84,7 @@
                 ),
             ),
             listOf(TaskSpan("a", 0, 2)),
-            awaitKeys = 2,
+            dependencySegments = 2,
         )
         val read = ProductionVersionTransport.record(
             StoreKeys.job("j-1"),
@@ -92,7 +92,7 @@
         ).jsonObject
         assertTrue("w" !in read && "Awaits" !in read.getValue("s").jsonObject)
         assertEquals(
-            waiting.copy(spec = waiting.spec!!.copy(dependencies = null), awaitKeys = null),
+            waiting.copy(spec = waiting.spec!!.copy(dependencies = null), dependencySegments = null),
             decodeRecord(JobRecord.serializer(), read),
         )
     }
@@ -105,9 +105,12 @@
             it.set(16_000)
             it.set(90_001)
         }
-        assertEquals(TaskBitmaps.FINE_CHUNK, TaskBitmaps.chunkOf(100_000))
-        val size = TaskBitmaps.FINE_CHUNK
-        val fine = (0..90_001 / size).associate { TaskBitmaps.name("j-1", it) to TaskBitmaps.encode(tasks, it, size) }
+        assertEquals(TaskBitmaps.FINE_CHUNK_TASKS, TaskBitmaps.chunkSize(100_000))
+        val size = TaskBitmaps.FINE_CHUNK_TASKS
+        val fine = (0..90_001 / size).associate {
+            TaskBitmaps.chunkName("j-1", it) to
+                TaskBitmaps.encode(tasks, it, size)
+        }
         assertTrue(fine.values.all { it.length <= 700 })
         val table = JobTable()
         val record = CompletionSegmentRecord(mapOf("j-2" to "Aw"), fine)
--- a/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
@@ -155,7 +155,7 @@
             it.set(7)
         }
         val before = listOf(TaskSpan("a", 0, 5), TaskSpan("b", 5, 9))
-        val after = TaskSpans.move(before, tasks, "c")
+        val after = TaskSpans.reassign(before, tasks, "c")
         assertEquals(
             listOf(
                 TaskSpan("a", 0, 2),
@@ -167,7 +167,7 @@
             ),
             after,
         )
-        assertEquals(listOf(TaskSpan("a", 0, 9)), TaskSpans.move(after, BitSet().also { it.set(0, 9) }, "a"))
+        assertEquals(listOf(TaskSpan("a", 0, 9)), TaskSpans.reassign(after, BitSet().also { it.set(0, 9) }, "a"))
     }
 
     private fun waiting(spec: JobSpec, submittedMs: Long) =
--- a/src/test/kotlin/io/otterknot/testing/SafetyChecks.kt
+++ b/src/test/kotlin/io/otterknot/testing/SafetyChecks.kt
@@ -89,8 +89,8 @@
     /** The state service holds another value for a key than before: a job's final state is never changed. */
     fun overwritten(key: String, before: JsonElement, after: JsonElement) {
         if (!key.startsWith(StoreKeys.JOBS)) return
-        val final = decodeRecord(JobRecord.serializer(), before).final ?: return
-        val now = decodeRecord(JobRecord.serializer(), after).final
+        val final = decodeRecord(JobRecord.serializer(), before).terminalState ?: return
+        val now = decodeRecord(JobRecord.serializer(), after).terminalState
         if (now != final) broken.add("went_back: $key is stored as $final, then as $now")
     }
 
--- a/src/test/kotlin/io/otterknot/testing/SimulatedCluster.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedCluster.kt
@@ -193,7 +193,7 @@
 
     /** Who owns which partition, as the state service says. */
     fun owners(): Map<String, String> = zones.mapNotNull { zone ->
-        state.value(StoreKeys.partition(zone))?.let { zone to decodeRecord(LeaderRecord.serializer(), it).owner }
+        state.value(StoreKeys.partition(zone))?.let { zone to decodeRecord(LeaderRecord.serializer(), it).leader }
     }.toMap()
 
     // ---- machines
