--- a/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
@@ -3,8 +3,8 @@
 import io.otterknot.scheduling.Attempt
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
-import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.ExitCause
+import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.TaskStatus
 import org.slf4j.LoggerFactory
 
--- a/src/main/kotlin/io/otterknot/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatProcessor.kt
@@ -2,8 +2,8 @@
 
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.Scheduler
-import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.Heartbeat
+import io.otterknot.wire.HeartbeatCommand
 import io.otterknot.wire.MachineType
 import io.otterknot.wire.TaskState
 
--- /dev/null
+++ b/src/test/kotlin/io/otterknot/partition/FailoverReconciliationTest.kt
@@ -0,0 +1,117 @@
+package io.otterknot.partition
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
+
+class FailoverReconciliationTest : PartitionFixture() {
+    @Test
+    fun `a machine that has not shown the token gets it and no command, and stays unreconciled`() {
+        val partition = partition(listOf("m1", "m2"))
+        partition.updateJob(job(1, 4), inherited = true)
+        assertEquals(
+            HeartbeatDecision.Answer(TOKEN, emptyList()),
+            partition.heartbeat("m1", PRIOR_TOKEN, 100, runningTask("j-000001/0")),
+        )
+        assertTrue(partition.heartbeat("m1", TOKEN, 200, runningTask("j-000001/0")).commands().isEmpty())
+        assertTrue(!partition.reconciled, "m2 may hold the other tasks")
+        assertTrue(partition.heartbeat("m2", PRIOR_TOKEN, 300).commands().isEmpty())
+        assertTrue(!partition.reconciled, "m2 has not shown the token")
+        val started = partition.heartbeat("m2", TOKEN, 400).starts() +
+            partition.heartbeat("m1", TOKEN, 500, runningTask("j-000001/0")).starts()
+        assertEquals(setOf("j-000001/1", "j-000001/2", "j-000001/3"), started.map { it.task }.toSet())
+    }
+
+    @Test
+    fun `doubts end with the lease of a machine that stays silent, or with its release`() {
+        for (released in listOf(true, false)) {
+            val partition = partition(listOf("m1", "gone"))
+            partition.updateJob(job(1, 1), inherited = true)
+            partition.heartbeat("m1", TOKEN, 100)
+            partition.sweep(10_000)
+            assertTrue(!partition.reconciled)
+            if (released) partition.fleet.machineReleased("gone")
+            partition.sweep(if (released) 10_000 else 10_800)
+            assertEquals(1, partition.heartbeat("m1", TOKEN, 10_900).starts().size)
+        }
+    }
+
+    @Test
+    fun `a machine that got the token and fell silent keeps its tasks until the lease that the response renewed`() {
+        val partition = partition(listOf("m1", "m2"))
+        partition.updateJob(job(1, 1), inherited = true)
+        partition.heartbeat("m1", TOKEN, 100)
+        partition.heartbeat("m2", PRIOR_TOKEN, 9_000, runningTask("j-000001/0"))
+        for (now in listOf(10_900L, 15_000L, 19_000L)) {
+            partition.sweep(now)
+            assertTrue(partition.heartbeat("m1", TOKEN, now).starts().isEmpty(), "at $now")
+        }
+        partition.sweep(19_800)
+        assertEquals(1, partition.heartbeat("m1", TOKEN, 19_900).starts().size)
+    }
+
+    /**
+     * With all unreconciled machines added up for each waiting job in each pass, a restart of all controllers would
+     * cost machines times jobs a heartbeat.
+     */
+    @ParameterizedTest
+    @ValueSource(ints = [20, 400])
+    fun `what a heartbeat costs during a failover does not grow with the machines or the jobs`(machines: Int) {
+        val ids = (1..machines).map { "m$it" }
+        val partition = partition(ids)
+        for (number in 1..40) partition.updateJob(job(number, 3), inherited = false)
+        ids.forEach { partition.heartbeat(it, PRIOR_TOKEN, 100) }
+        typeLookups = 0
+        ids.dropLast(1).forEach { partition.heartbeat(it, TOKEN, 200) }
+        assertTrue(!partition.reconciled)
+        assertTrue(typeLookups < 5 * machines, "$typeLookups looked up for $machines heartbeats")
+    }
+
+    @Test
+    fun `leadership is transferred only once no earlier leader may act`() {
+        val partition = partition(priorLeaderUntilMs = 20_000)
+        partition.sweep(10)
+        assertTrue(partition.reconciled)
+        assertTrue(!partition.mayTransferLeadership(19_000))
+        assertTrue(partition.mayTransferLeadership(21_000))
+    }
+
+    /**
+     * Each of its heartbeats got a response, so counting its lease from the last of them would leave the partition in
+     * doubt for ever.
+     */
+    @Test
+    fun `a machine that never shows the token holds up doubts no longer than two leases`() {
+        val partition = partition(listOf("m1", "deaf"))
+        partition.updateJob(job(1, 1), inherited = true)
+        var startedAt = 0L
+        for (now in 100L..40_000L step 800) {
+            partition.heartbeat("deaf", PRIOR_TOKEN, now, runningTask("j-000001/0"))
+            partition.sweep(now)
+            if (partition.heartbeat("m1", TOKEN, now + 1).starts().isNotEmpty()) {
+                startedAt = now
+                break
+            }
+        }
+        assertTrue(startedAt in 14_000..21_500, "$startedAt")
+    }
+
+    /**
+     * The leader before may not know yet that it was overridden: what no heartbeat makes known waits for its fence too.
+     */
+    @Test
+    fun `while an overridden leader may still act, time alone settles nothing`() {
+        for ((priorLeaderUntilMs, settledMs) in listOf(0L to 10_800L, 22_000L to 32_800L)) {
+            val partition = partition(listOf("m1", "gone"), priorLeaderUntilMs = priorLeaderUntilMs)
+            partition.updateJob(job(1, 1), inherited = true)
+            var startedAt = 0L
+            for (now in 100L..40_000L step 100) {
+                partition.sweep(now)
+                if (startedAt == 0L && partition.heartbeat("m1", TOKEN, now).starts().isNotEmpty()) startedAt = now
+            }
+            assertEquals(settledMs, startedAt)
+        }
+    }
+}
