--- a/src/main/kotlin/io/otterknot/cli/MovesCommand.kt
+++ b/src/main/kotlin/io/otterknot/cli/MovesCommand.kt
@@ -1,6 +1,6 @@
 package io.otterknot.cli
 
-import io.otterknot.rebalance.LogReport
+import io.otterknot.rebalance.MoveLogReport
 import io.otterknot.rebalance.MoveReport
 import kotlinx.serialization.json.Json
 import picocli.CommandLine
@@ -45,11 +45,11 @@
             return USAGE
         }
         val asJson = parsed.matchedOptionValue(JSON, false)
-        if (asJson) println(prettyJson.encodeToString(LogReport.serializer(), report)) else print(report)
+        if (asJson) println(prettyJson.encodeToString(MoveLogReport.serializer(), report)) else print(report)
         return OK
     }
 
-    private fun read(logs: List<Path>, team: String?): LogReport {
+    private fun read(logs: List<Path>, team: String?): MoveLogReport {
         val lines = logs.flatMap { log ->
             log.useLines { lines -> lines.filter(MoveReport::isMarked).toList() }
         }
@@ -58,5 +58,5 @@
         return report.copy(teams = report.teams.filter { it.team == team })
     }
 
-    private fun print(report: LogReport) = MoveReport.text(report).forEach(::println)
+    private fun print(report: MoveLogReport) = MoveReport.text(report).forEach(::println)
 }
--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -134,7 +134,7 @@
         nowMs,
         wallMs,
         random,
-        isDecidedElsewhere = loadSpread::decidesHandOvers,
+        isDecidedElsewhere = loadSpread::decidesReassignments,
     )
 
     private val limitedTeams = site.teams.filter { it.cpusMax > 0 || it.gpusMax > 0 }.map { it.name }
@@ -214,5 +214,5 @@
     suspend fun handlePeerRequest(request: PeerMessage): PeerMessage = peerRequests.handle(request)
 
     /** How many moves of load spread have ended in each state, by kind, in the partitions led now. */
-    fun moveEnds(): Map<Pair<MoveKind, MoveState>, Int> = loadSpread.ends()
+    fun moveEnds(): Map<Pair<MoveKind, MoveState>, Int> = loadSpread.endedMoveCounts()
 }
--- a/src/main/kotlin/io/otterknot/controller/ControllerLoadSpreadHost.kt
+++ b/src/main/kotlin/io/otterknot/controller/ControllerLoadSpreadHost.kt
@@ -22,11 +22,11 @@
     private val storeHealth: StoreHealth,
 ) : LoadSpreadHost {
     override val liveJobs: Collection<Job> get() = jobs.activeJobs
-    override val hasState: Boolean get() = storeHealth.isAnswering
+    override val isStoreAvailable: Boolean get() = storeHealth.isAnswering
 
     override fun mayActFor(partition: Partition): Boolean = leadership.token(partition.zone) == partition.fencingToken
 
-    override fun isOwned(zone: String): Boolean = leadership.leaderOf(zone) != null
+    override fun hasLeader(zone: String): Boolean = leadership.leaderOf(zone) != null
 
     override fun offers(zone: String, spec: JobSpec): Boolean = catalog.offers(zone, spec)
 }
--- a/src/main/kotlin/io/otterknot/rebalance/DrainPlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/DrainPlanner.kt
@@ -9,35 +9,35 @@
 internal class DrainPlanner(private val settings: LoadSpreadSettings) {
     private val weights = CostWeights(settings)
 
-    fun plan(snapshot: PlannerSnapshot, limits: StopLimits): Plan {
+    fun plan(snapshot: PlannerSnapshot, limits: StopLimits): MovePlan {
         val moves = ArrayList<Move>()
-        val refusals = ArrayList<Refusal>()
+        val refusals = ArrayList<MoveRefusal>()
         for (machine in snapshot.machines) {
             if (!machine.draining) continue
             for (task in machine.tasks) {
-                if (task.isBusyOrKept) continue
+                if (task.isExemptFromStop) continue
                 val gainS = gain(task, machine, snapshot)
-                val refused = hindrance(task, gainS) ?: limits.hindrance(listOf(task))
+                val refused = refusalReason(task, gainS) ?: limits.refusalReason(listOf(task))
                 if (refused != null) {
-                    refusals.add(Refusal(task.team, task.spec.id, refused))
+                    refusals.add(MoveRefusal(task.team, task.spec.id, refused))
                     continue
                 }
-                limits.note(listOf(task))
+                limits.recordStops(listOf(task))
                 moves.add(machine.stop(task, snapshot.zone, MoveReason.DRAIN, gainS, beneficiary = null))
             }
         }
-        return Plan(moves, refusals)
+        return MovePlan(moves, refusals)
     }
 
-    private fun hindrance(task: RunningTask, gainS: Double): RefusalReason? = when {
-        task.coolsDown -> RefusalReason.COOLDOWN
-        task.remainingS < settings.leastRemainingS -> RefusalReason.ENDS_SOON
+    private fun refusalReason(task: RunningTask, gainS: Double): RefusalReason? = when {
+        task.isCoolingDown -> RefusalReason.COOLDOWN
+        task.remainingS < settings.leastRemainingS -> RefusalReason.COMPLETES_SOON
         gainS < settings.marginS -> RefusalReason.GAIN_TOO_SMALL
         else -> null
     }
 
     /** How much sooner the task would end on another machine of the partition. */
-    private fun gain(task: RunningTask, machine: MachineState, snapshot: PlannerSnapshot): Double {
+    private fun gain(task: RunningTask, machine: MachineSnapshot, snapshot: PlannerSnapshot): Double {
         val spec = task.spec
         val partition = snapshot.cluster.partitions.getValue(snapshot.zone)
         val runHereS = task.remainingS * machine.slowness
--- a/src/main/kotlin/io/otterknot/rebalance/FairShares.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/FairShares.kt
@@ -29,16 +29,16 @@
     /** Raises all that ask for more at the same pace, by weight, until each has what it asks for or nothing is left. */
     private fun fill(teams: List<TeamDemand>, due: MutableMap<String, Double>) {
         var left = 1.0 - due.values.sum()
-        var hungry = teams.filter { it.demand - due.getValue(it.team) > TINY }
-        while (left > TINY && hungry.isNotEmpty()) {
-            val weights = hungry.sumOf { it.weight }
+        var unsatisfied = teams.filter { it.demand - due.getValue(it.team) > SHARE_EPSILON }
+        while (left > SHARE_EPSILON && unsatisfied.isNotEmpty()) {
+            val weights = unsatisfied.sumOf { it.weight }
             // The pace at which the first of them is satisfied, or the rest used up.
-            val pace = minOf(left / weights, hungry.minOf { (it.demand - due.getValue(it.team)) / it.weight })
-            for (team in hungry) due.merge(team.team, pace * team.weight, Double::plus)
+            val pace = minOf(left / weights, unsatisfied.minOf { (it.demand - due.getValue(it.team)) / it.weight })
+            for (team in unsatisfied) due.merge(team.team, pace * team.weight, Double::plus)
             left -= pace * weights
-            hungry = hungry.filter { it.demand - due.getValue(it.team) > TINY }
+            unsatisfied = unsatisfied.filter { it.demand - due.getValue(it.team) > SHARE_EPSILON }
         }
     }
 
-    private const val TINY = 1e-9
+    private const val SHARE_EPSILON = 1e-9
 }
--- a/src/main/kotlin/io/otterknot/rebalance/GuaranteePlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/GuaranteePlanner.kt
@@ -12,58 +12,58 @@
 internal class GuaranteePlanner(private val settings: LoadSpreadSettings) {
     private val weights = CostWeights(settings)
 
-    fun plan(snapshot: PlannerSnapshot, limits: StopLimits): Plan {
+    fun plan(snapshot: PlannerSnapshot, limits: StopLimits): MovePlan {
         val moves = ArrayList<Move>()
-        val refusals = ArrayList<Refusal>()
-        val rooms = snapshot.machines.filterNot { it.draining }.map(::MachineRoom)
-        val coresFreeSoon = coresFreeSoon(snapshot)
-        var coresAhead = 0.0
+        val refusals = ArrayList<MoveRefusal>()
+        val capacities = snapshot.machines.filterNot { it.draining }.map(::MachineCapacity)
+        val coresFreedWithinMargin = coresFreedWithinMargin(snapshot)
+        var coresOfEarlierJobs = 0.0
         for (job in snapshot.waiting) {
             if (!job.covered || job.startable <= 0) continue
-            coresAhead += job.startable * job.spec.cores
-            val refused = hindrance(job, coresAhead <= coresFreeSoon)
+            coresOfEarlierJobs += job.startable * job.spec.cores
+            val refused = refusalReason(job, coresOfEarlierJobs <= coresFreedWithinMargin)
             if (refused != null) {
-                refusals.add(Refusal(job.team, job.spec.id, refused))
+                refusals.add(MoveRefusal(job.team, job.spec.id, refused))
                 continue
             }
-            val served = snapshot.open.stopsForJob[job.spec.id] ?: 0
-            repeat(job.startable - served) {
-                val refusal = makeRoom(job, rooms, limits, snapshot, moves) ?: return@repeat
-                refusals.add(Refusal(job.team, job.spec.id, refusal))
-                return Plan(moves, refusals)
+            val stopsInProgress = snapshot.open.stopsForJob[job.spec.id] ?: 0
+            repeat(job.startable - stopsInProgress) {
+                val refusal = planStops(job, capacities, limits, snapshot, moves) ?: return@repeat
+                refusals.add(MoveRefusal(job.team, job.spec.id, refusal))
+                return MovePlan(moves, refusals)
             }
         }
-        return Plan(moves, refusals)
+        return MovePlan(moves, refusals)
     }
 
-    /** [comesSoon]: room for all that waits within guarantees up to this job comes free by itself. */
-    private fun hindrance(job: WaitingJob, comesSoon: Boolean): RefusalReason? = when {
-        job.waitedS < settings.patienceS -> RefusalReason.PATIENCE
-        comesSoon -> RefusalReason.ROOM_COMES_SOON
+    /** [capacityExpectedSoon]: room for all that waits within guarantees up to this job comes free by itself. */
+    private fun refusalReason(job: WaitingJob, capacityExpectedSoon: Boolean): RefusalReason? = when {
+        job.waitedS < settings.patienceS -> RefusalReason.WAIT_TOO_SHORT
+        capacityExpectedSoon -> RefusalReason.CAPACITY_EXPECTED_SOON
         else -> null
     }
 
     /** How many cores come free in the partition within the margin, by the sample: work within a guarantee is first. */
-    private fun coresFreeSoon(snapshot: PlannerSnapshot): Double = snapshot.machines
+    private fun coresFreedWithinMargin(snapshot: PlannerSnapshot): Double = snapshot.machines
         .filterNot { it.draining }
         .flatMap { it.tasks }
         .filter { it.remainingS <= settings.marginS }
         .sumOf { it.spec.cores } / snapshot.sampledShare
 
     /** Chooses where one task of [job] gets room; the reason if nowhere. */
-    private fun makeRoom(
+    private fun planStops(
         job: WaitingJob,
-        rooms: List<MachineRoom>,
+        capacities: List<MachineCapacity>,
         limits: StopLimits,
         snapshot: PlannerSnapshot,
         moves: MutableList<Move>,
     ): RefusalReason? {
-        val best = rooms.filter { it.machine.allows(job.spec) }
-            .mapNotNull { room -> room.option(job, limits) }
-            .minWithOrNull(compareBy<Option> { it.cost }.thenBy { it.room.machine.id })
-            ?: return RefusalReason.NOTHING_TO_STOP
-        limits.hindrance(best.tasks)?.let { return it }
-        limits.note(best.tasks)
+        val best = capacities.filter { it.machine.allows(job.spec) }
+            .mapNotNull { room -> room.stopCandidate(job, limits) }
+            .minWithOrNull(compareBy<StopCandidate> { it.cost }.thenBy { it.room.machine.id })
+            ?: return RefusalReason.NO_STOPPABLE_TASKS
+        limits.refusalReason(best.tasks)?.let { return it }
+        limits.recordStops(best.tasks)
         best.room.take(best.tasks, job)
         val gainS = best.tasks.minOf { it.remainingS }
         best.tasks.mapTo(moves) {
@@ -72,34 +72,34 @@
         return null
     }
 
-    private class Option(val room: MachineRoom, val tasks: List<RunningTask>, val cost: Double)
+    private class StopCandidate(val room: MachineCapacity, val tasks: List<RunningTask>, val cost: Double)
 
     /** What a machine has room for while one plan is made. */
-    private inner class MachineRoom(val machine: MachineState) {
+    private inner class MachineCapacity(val machine: MachineSnapshot) {
         private var free = machine.free
         private val stopped = HashSet<Long>()
 
         /** The tasks to stop so that one of [job] fits, those that lose least first; null: not even then would it. */
-        fun option(job: WaitingJob, limits: StopLimits): Option? {
+        fun stopCandidate(job: WaitingJob, limits: StopLimits): StopCandidate? {
             val needed = Resources.of(job.spec)
             var room = free
             val chosen = ArrayList<RunningTask>()
             val excess = HashMap<String, Double>()
-            for (task in machine.tasks.sortedWith(STOP_ORDER)) {
+            for (task in machine.tasks.sortedWith(LEAST_URGENT_FIRST)) {
                 if (room.covers(needed)) break
-                if (!mayStop(task, job)) continue
-                val left = excess.getOrPut(task.team) { limits.excessLeft(task.team) }
+                if (!isStoppable(task, job)) continue
+                val left = excess.getOrPut(task.team) { limits.remainingExcessCores(task.team) }
                 if (left < task.spec.cores) continue
                 excess[task.team] = left - task.spec.cores
                 room += Resources.of(task.spec)
                 chosen.add(task)
             }
             if (chosen.isEmpty() || !room.covers(needed)) return null
-            return Option(this, chosen, cost(job, chosen))
+            return StopCandidate(this, chosen, cost(job, chosen))
         }
 
-        private fun mayStop(task: RunningTask, job: WaitingJob): Boolean = task.team != job.team &&
-            !task.covered && !task.isBusyOrKept && !task.coolsDown && task.attempt !in stopped &&
+        private fun isStoppable(task: RunningTask, job: WaitingJob): Boolean = task.team != job.team &&
+            !task.covered && !task.isExemptFromStop && !task.isCoolingDown && task.attempt !in stopped &&
             task.remainingS >= settings.leastRemainingS &&
             (settings.anyPriority || task.priority >= job.spec.priority)
 
@@ -120,6 +120,7 @@
 
     private companion object {
         /** The least urgent first, then what loses least. */
-        val STOP_ORDER = compareByDescending<RunningTask> { it.priority }.thenBy { it.lostCoreS }.thenBy { it.attempt }
+        val LEAST_URGENT_FIRST =
+            compareByDescending<RunningTask> { it.priority }.thenBy { it.lostCoreS }.thenBy { it.attempt }
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
@@ -15,62 +15,65 @@
 import kotlinx.coroutines.launch
 import kotlin.random.Random
 
-/** What load spread needs of the controller that it runs in. */
+/** What load spread reads from the controller that it runs in. */
 interface LoadSpreadHost {
     val partitions: Map<String, Partition>
     val views: Map<String, PartitionView>
     val teams: List<TeamSettings>
 
-    /** All jobs that are not over, in all partitions. */
+    /** All unfinished jobs of all partitions. */
     val liveJobs: Collection<Job>
 
-    /** Whether this node may act for [partition] now. */
+    /** Whether this controller may act as the leader of [partition] now. */
     fun mayActFor(partition: Partition): Boolean
 
-    /** The state service answers this node. */
-    val hasState: Boolean
+    /** Whether the state service answers this controller. */
+    val isStoreAvailable: Boolean
 
-    /** Whether some controller owns the partition of [zone]. */
-    fun isOwned(zone: String): Boolean
+    /** Whether the partition of [zone] has a leader. */
+    fun hasLeader(zone: String): Boolean
 
-    /** Whether the cloud offers a type in [zone] that the job may use. */
+    /** Whether the cloud offers a machine type in [zone] that [spec] allows. */
     fun offers(zone: String, spec: JobSpec): Boolean
 }
 
 /**
- * Keeps busy teams from crowding others out: decides which waiting work goes to which partition, and which running work
- * is stopped so as to be placed anew. Where a task then goes is decided as ever, by its partition's scheduler. The
- * settings are asked for at each turn, so it can be switched on and off while it runs.
+ * Keeps busy teams from crowding others out: plans which waiting tasks are reassigned to another partition, and which
+ * running tasks are stopped to be placed anew. The partition's scheduler places them as any other task. The settings
+ * are read in each round, so that load spread can be switched on and off at run time.
  */
 class LoadSpread(
     private val host: LoadSpreadHost,
-    private val transfer: TaskReassignment,
+    private val reassignment: TaskReassignment,
     private val settings: () -> LoadSpreadSettings,
     private val nowMs: () -> Long,
     private val wallMs: () -> Long,
     private val random: Random,
 ) {
-    private val board = PressureTracker(host.teams, host.partitions, host.views)
-    private val cover = QuotaCoverage(host.teams)
-    private val desks = HashMap<String, PartitionMoveExecutor>()
-
-    /** Partitions with an owner, looked up once for all plans of a turn. */
-    private var ownedZones = emptyList<String>()
-    private var active = LoadSpreadSettings()
-    private var slowUntilMs = Long.MIN_VALUE
-    private var coveredMs = Long.MIN_VALUE / 2
-
-    /** Whether load spread decides what the partition of [zone] hands over, now that it runs and nothing pauses it. */
-    fun decidesHandOvers(zone: String): Boolean =
-        active.mode == LoadSpreadMode.ACT && active.handOvers && desks[zone]?.isPlanning == true
-
-    /** What the owner of [partition] publishes with its mean; null while load spread is off. */
-    fun record(partition: Partition): PressureRecord? = if (active.isOn) board.record(partition) else null
-
-    /** How many moves have ended in each state, by kind, in the partitions owned now. */
-    fun ends(): Map<Pair<MoveKind, MoveState>, Int> {
+    private val pressureTracker = PressureTracker(host.teams, host.partitions, host.views)
+    private val quotaCoverage = QuotaCoverage(host.teams)
+    private val rebalancers = HashMap<String, PartitionRebalancer>()
+
+    /** Zones whose partition has a leader; looked up once for all plans of a round. */
+    private var ledZones = emptyList<String>()
+    private var activeSettings = LoadSpreadSettings()
+    private var overloadedUntilMs = Long.MIN_VALUE
+    private var coverageUpdatedMs = Long.MIN_VALUE / 2
+
+    /** Whether load spread decides the reassignments of the partition of [zone]: it acts there and is not paused. */
+    fun decidesReassignments(zone: String): Boolean =
+        activeSettings.mode == LoadSpreadMode.ACT && activeSettings.handOvers && rebalancers[zone]?.isPlanning == true
+
+    /** The pressure that the leader of [partition] publishes with its mean load; null while load spread is off. */
+    fun record(partition: Partition): PressureRecord? =
+        if (activeSettings.isOn) pressureTracker.record(partition) else null
+
+    /** Moves that have ended, by kind and state, in the partitions led now. */
+    fun endedMoveCounts(): Map<Pair<MoveKind, MoveState>, Int> {
         val sum = HashMap<Pair<MoveKind, MoveState>, Int>()
-        for (desk in desks.values) desk.journal.ends.forEach { (end, count) -> sum.merge(end, count, Int::plus) }
+        for (rebalancer in rebalancers.values) {
+            rebalancer.journal.endedMoveCounts.forEach { (end, count) -> sum.merge(end, count, Int::plus) }
+        }
         return sum
     }
 
@@ -78,84 +81,84 @@
     suspend fun run() = coroutineScope {
         while (true) {
             val before = nowMs()
-            val pauseMs = if (active.isOn) pauseMs() else OFF_MS
+            val pauseMs = if (activeSettings.isOn) pauseMs() else SETTINGS_POLL_MS
             delay(pauseMs)
             val late = nowMs() - before - pauseMs
-            if (late > SLOW_MS) slowUntilMs = nowMs() + SLOW_FOR_MS
-            takeSettings()
-            if (active.isOn) turn(this)
+            if (late > OVERLOAD_DELAY_MS) overloadedUntilMs = nowMs() + OVERLOAD_PAUSE_MS
+            applySettings()
+            if (activeSettings.isOn) runRound(this)
         }
     }
 
-    private fun pauseMs(): Long = (active.planEveryS * 1000).toLong() + random.nextLong(JITTER_MS)
+    private fun pauseMs(): Long = (activeSettings.planEveryS * 1000).toLong() + random.nextLong(PLAN_JITTER_MS)
 
-    private fun takeSettings() {
+    private fun applySettings() {
         val wanted = settings()
-        if (wanted == active) return
-        active = wanted
-        for (desk in desks.values) desk.close(nowMs())
-        desks.clear()
+        if (wanted == activeSettings) return
+        activeSettings = wanted
+        for (rebalancer in rebalancers.values) rebalancer.close(nowMs())
+        rebalancers.clear()
         for (partition in host.partitions.values) {
             partition.markCovered(nowMs(), beforeAll = false) { false }
             if (!wanted.isOn) partition.waitingWork.unfollow()
         }
     }
 
-    private fun turn(scope: CoroutineScope) {
+    private fun runRound(scope: CoroutineScope) {
         val now = nowMs()
-        keepDesks(now)
-        if (desks.isEmpty()) return
+        reconcileRebalancers(now)
+        if (rebalancers.isEmpty()) return
         markCovered(now)
-        val cluster = board.look()
-        ownedZones = host.views.keys.filter(host::isOwned)
-        for (desk in desks.values) {
-            val paused = pause(desk.partition, now)
-            val handOvers = desk.turn(cluster, paused, now, wallMs())
-            if (handOvers.isNotEmpty()) scope.launch { desk.mover.handOver(handOvers) }
+        val cluster = pressureTracker.clusterPressure()
+        ledZones = host.views.keys.filter(host::hasLeader)
+        for (rebalancer in rebalancers.values) {
+            val pausedBy = pauseReason(rebalancer.partition, now)
+            val reassignments = rebalancer.runRound(cluster, pausedBy, now, wallMs())
+            if (reassignments.isNotEmpty()) scope.launch { rebalancer.moveExecutor.reassign(reassignments) }
         }
     }
 
-    /** One desk for each partition that this node owns, under the token that it owns it with. */
-    private fun keepDesks(now: Long) {
-        val ended = desks.values.filter { host.partitions[it.partition.zone] !== it.partition }
-        for (desk in ended) {
-            desk.close(now)
-            desks.remove(desk.partition.zone)
+    /** One rebalancer for each partition that this controller leads, under the fencing token that it leads it with. */
+    private fun reconcileRebalancers(now: Long) {
+        val ended = rebalancers.values.filter { host.partitions[it.partition.zone] !== it.partition }
+        for (rebalancer in ended) {
+            rebalancer.close(now)
+            rebalancers.remove(rebalancer.partition.zone)
         }
         for (partition in host.partitions.values) {
-            desks.getOrPut(partition.zone) {
-                PartitionMoveExecutor(partition, active, transfer, ::owns, ::targets, random, now)
+            rebalancers.getOrPut(partition.zone) {
+                PartitionRebalancer(partition, activeSettings, reassignment, ::isLed, ::targets, random, now)
             }
         }
     }
 
-    private fun owns(partition: Partition): Boolean = host.partitions[partition.zone] === partition
+    private fun isLed(partition: Partition): Boolean = host.partitions[partition.zone] === partition
 
-    private fun targets(spec: JobSpec): List<String> = ownedZones.filter { host.offers(it, spec) }
+    private fun targets(spec: JobSpec): List<String> = ledZones.filter { host.offers(it, spec) }
 
     private fun markCovered(now: Long) {
-        val isUsed = active.mode == LoadSpreadMode.ACT && active.guarantees && !cover.isEmpty
-        if (!isUsed || now - coveredMs < COVER_MS) return
-        coveredMs = now
-        val covered = cover.covered(host.liveJobs.mapNotNull(UnfinishedJob::of))
+        val isUsed = activeSettings.mode == LoadSpreadMode.ACT && activeSettings.guarantees && !quotaCoverage.isEmpty
+        if (!isUsed || now - coverageUpdatedMs < COVERAGE_INTERVAL_MS) return
+        coverageUpdatedMs = now
+        val covered = quotaCoverage.covered(host.liveJobs.mapNotNull(UnfinishedJob::of))
         for (partition in host.partitions.values) {
-            partition.markCovered(now, active.anyPriority) { it.id in covered }
+            partition.markCovered(now, activeSettings.anyPriority) { it.id in covered }
         }
     }
 
-    private fun pause(partition: Partition, now: Long): PauseReason? = when {
-        !host.mayActFor(partition) -> PauseReason.NOT_OWNER
-        !partition.reconciled || now <= partition.priorLeaderUntilMs -> PauseReason.IN_DOUBT
-        !host.hasState -> PauseReason.OUTAGE
-        now < slowUntilMs -> PauseReason.SLOW
+    private fun pauseReason(partition: Partition, now: Long): PlanningPauseReason? = when {
+        !host.mayActFor(partition) -> PlanningPauseReason.NOT_LEADER
+        !partition.reconciled || now <= partition.priorLeaderUntilMs -> PlanningPauseReason.IN_DOUBT
+        !host.isStoreAvailable -> PlanningPauseReason.STORE_UNAVAILABLE
+        now < overloadedUntilMs -> PlanningPauseReason.CONTROLLER_OVERLOADED
         else -> null
     }
 
     private companion object {
-        const val OFF_MS = 2_000L
-        const val JITTER_MS = 200L
-        const val SLOW_MS = 1_500L
-        const val SLOW_FOR_MS = 5_000L
-        const val COVER_MS = 1_000L
+        const val SETTINGS_POLL_MS = 2_000L
+        const val PLAN_JITTER_MS = 200L
+        const val OVERLOAD_DELAY_MS = 1_500L
+        const val OVERLOAD_PAUSE_MS = 5_000L
+        const val COVERAGE_INTERVAL_MS = 1_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/LocalityCost.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LocalityCost.kt
@@ -9,16 +9,16 @@
 
 /** The image of some work, at one place: how large it is, how fast it would come, and whether it is there. */
 data class ImageCost(
-    val atHand: Boolean,
+    val isPresent: Boolean,
     val imageGb: Double,
     val fetchGbPerS: Double,
     /** How many times as long as by that rate fetches take there, as measured. */
     val measuredFactor: Double = 1.0,
     /** How many images are fetched at the same time and share the rate, this one included. */
-    val sharedBy: Int = 1,
+    val concurrentFetches: Int = 1,
 ) {
     val seconds: Double get() =
-        if (atHand || fetchGbPerS <= 0) 0.0 else imageGb / fetchGbPerS * measuredFactor * maxOf(1, sharedBy)
+        if (isPresent || fetchGbPerS <= 0) 0.0 else imageGb / fetchGbPerS * measuredFactor * maxOf(1, concurrentFetches)
 }
 
 /** What stopping a running task would throw away. */
--- a/src/main/kotlin/io/otterknot/rebalance/LostWorkBudget.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LostWorkBudget.kt
@@ -1,29 +1,31 @@
 package io.otterknot.rebalance
 
 /**
- * How much work may be thrown away, in core-seconds: a share of what a partition does, saved up for a minute at the
- * most. Nothing is saved up at the start, so that a new owner does not begin with a wave of stops. A partition so small
- * that a minute's share would never pay for one task may save up for [LEAST_SAVED].
+ * Token bucket for work that stops may throw away, in core-seconds: it refills by a share of the partition's cores and
+ * holds at most a minute's share. It starts empty, so that a new leader does not begin with a wave of stops. In a
+ * partition so small that a minute's share would never pay for one task it holds [MIN_CAP_CORE_S].
  */
 class LostWorkBudget(private var atMs: Long) {
-    var left = 0.0
+    var availableCoreS = 0.0
         private set
 
-    /** Time has passed for a partition of so many [cores], of which [share] may be lost. */
+    /** Refills up to [nowMs] (steady clock) for a partition of [cores] cores, of which [share] may be lost. */
     fun refill(nowMs: Long, cores: Double, share: Double) {
         val perS = cores * share
-        left = minOf(left + (nowMs - atMs) / 1000.0 * perS, maxOf(perS * SAVED_S, LEAST_SAVED))
+        availableCoreS =
+            minOf(availableCoreS + (nowMs - atMs) / 1000.0 * perS, maxOf(perS * MAX_ACCRUAL_S, MIN_CAP_CORE_S))
         atMs = nowMs
     }
 
-    fun take(coreS: Double) {
-        left -= coreS
+    /** Spends [coreS] core-seconds; the budget may go below zero. */
+    fun consume(coreS: Double) {
+        availableCoreS -= coreS
     }
 
     private companion object {
-        const val SAVED_S = 60.0
+        const val MAX_ACCRUAL_S = 60.0
 
         /** Core-seconds: a task of four cores that has run for a minute. */
-        const val LEAST_SAVED = 240.0
+        const val MIN_CAP_CORE_S = 240.0
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/Move.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/Move.kt
@@ -45,19 +45,19 @@
     TOO_MANY_MOVES,
 
     @SerialName("has not waited long enough")
-    PATIENCE,
+    WAIT_TOO_SHORT,
 
     @SerialName("room comes by itself")
-    ROOM_COMES_SOON,
+    CAPACITY_EXPECTED_SOON,
 
     @SerialName("nothing that may be stopped makes room")
-    NOTHING_TO_STOP,
+    NO_STOPPABLE_TASKS,
 
     @SerialName("lost work beyond the budget")
-    LOST_WORK_BUDGET,
+    LOST_WORK_BUDGET_EXHAUSTED,
 
     @SerialName("ends soon where it is")
-    ENDS_SOON,
+    COMPLETES_SOON,
 
     @SerialName("was stopped a while ago")
     COOLDOWN,
@@ -65,18 +65,18 @@
 
 /** Why no plan is made for a partition. */
 @Serializable
-enum class PauseReason {
+enum class PlanningPauseReason {
     @SerialName("not its owner now")
-    NOT_OWNER,
+    NOT_LEADER,
 
     @SerialName("in doubt after a claim")
     IN_DOUBT,
 
     @SerialName("the state service does not answer")
-    OUTAGE,
+    STORE_UNAVAILABLE,
 
     @SerialName("this controller is short of processor")
-    SLOW,
+    CONTROLLER_OVERLOADED,
 }
 
 /** Something that is to be moved. */
@@ -88,7 +88,7 @@
     val gainS: Double
 
     /** So many waiting tasks of [job] go to the partition of [target]. */
-    data class HandOver(
+    data class Reassignment(
         override val zone: String,
         override val team: String,
         override val job: String,
@@ -118,11 +118,11 @@
 }
 
 /** Something that was looked at and is not moved. */
-data class Refusal(val team: String, val job: String, val reason: RefusalReason)
+data class MoveRefusal(val team: String, val job: String, val reason: RefusalReason)
 
 /** What a plan comes to. */
-class Plan(val moves: List<Move>, val refusals: List<Refusal>) {
+class MovePlan(val moves: List<Move>, val refusals: List<MoveRefusal>) {
     companion object {
-        val EMPTY = Plan(emptyList(), emptyList())
+        val EMPTY = MovePlan(emptyList(), emptyList())
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/Mover.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveExecutor.kt
@@ -4,24 +4,24 @@
 import io.otterknot.reassignment.TaskReassignment
 
 /**
- * Carries out the moves of one partition and follows them. It keeps nothing durable: stops go out with answers to
- * reports as any other, handovers are guarded transactions as any other.
+ * Executes the moves of one partition and tracks them. It keeps nothing durable: stops are commands in heartbeat
+ * responses, reassignments are compare-and-swap transactions, both the same as without load spread.
  */
-class Mover(
+class MoveExecutor(
     private val partition: Partition,
-    private val transfer: TaskReassignment,
+    private val reassignment: TaskReassignment,
     private val journal: MoveJournal,
     private val history: MoveHistory,
     private val budget: LostWorkBudget,
-    /** Whether this node still owns the partition under this token. */
-    private val ownsPartition: () -> Boolean,
+    /** Whether this controller still leads the partition under the same fencing token. */
+    private val leadsPartition: () -> Boolean,
 ) {
     private val open = ArrayList<OpenMove>()
 
     /** Handovers are under way. */
-    private var isHandingOver = false
+    private var isReassigning = false
 
-    fun openMoves(): OpenMoves {
+    fun summarizeOpenMoves(): OpenMoves {
         val stopping = open.filter { it.state == MoveState.STOPPING }
         return OpenMoves(
             stops = stopping.size,
@@ -31,49 +31,49 @@
                 moves.sumOf { it.move.cores }
             },
             stopsForJob = stopping.mapNotNull { it.move.beneficiary }.groupingBy { it }.eachCount(),
-            handOverUnderWay = isHandingOver,
+            reassignmentInProgress = isReassigning,
         )
     }
 
-    /** Begins to stop a task, if it still is where the plan saw it. */
+    /** Begins to stop a task; a task that is no longer where the plan saw it makes the move [MoveState.ABANDONED]. */
     fun stop(move: Move.Stop, now: Long) {
         val attempt = partition.machine(move.machine)?.attempts?.get(move.attempt)
-        if (attempt == null || attempt.stopping || !attempt.occupiesMachine || !ownsPartition()) {
+        if (attempt == null || attempt.stopping || !attempt.occupiesMachine || !leadsPartition()) {
             journal.ended(move, MoveState.ABANDONED, MoveOutcome.TASK_GONE)
             return
         }
-        history.stopped(move.job, move.task, now)
-        budget.take(move.lostCoreS)
+        history.recordStop(move.job, move.task, now)
+        budget.consume(move.lostCoreS)
         val followed = OpenMove(move, partition, attempt, now)
         open.add(followed)
         journal.proposed(move)
         followed.begin(now)
     }
 
-    /** Follows what is under way. */
+    /** Brings the open moves up to date and logs those that have ended. */
     fun advance(now: Long) {
         if (open.isEmpty()) return
-        val owns = ownsPartition()
+        val isLeader = leadsPartition()
         for (move in open) {
-            if (move.advance(now, owns) && move.state.isFinal) journal.ended(move, now)
+            if (move.advance(now, isLeader) && move.state.isFinal) journal.ended(move, now)
         }
         open.removeIf { it.state.isFinal }
     }
 
-    /** Hands waiting tasks over, one move after the other; returns once it is known what became of them. */
-    suspend fun handOver(moves: List<Move.HandOver>) {
-        if (isHandingOver) return
-        isHandingOver = true
+    /** Reassigns waiting tasks, one move after the other; returns once all outcomes are known. No-op while one runs. */
+    suspend fun reassign(moves: List<Move.Reassignment>) {
+        if (isReassigning) return
+        isReassigning = true
         try {
-            moves.forEach { handOver(it) }
+            moves.forEach { reassign(it) }
         } finally {
-            isHandingOver = false
+            isReassigning = false
         }
     }
 
-    private suspend fun handOver(move: Move.HandOver) {
+    private suspend fun reassign(move: Move.Reassignment) {
         val job = partition.job(move.job)
-        if (job == null || job.finished || !ownsPartition()) {
+        if (job == null || job.finished || !leadsPartition()) {
             journal.ended(move, MoveState.ABANDONED, MoveOutcome.TASK_GONE)
             return
         }
@@ -83,23 +83,23 @@
             return
         }
         journal.proposed(move)
-        when (transfer.transfer(partition, job, tasks, move.target)) {
+        when (reassignment.transfer(partition, job, tasks, move.target)) {
             TaskReassignment.Outcome.MOVED -> journal.ended(move, MoveState.PLACED, null, tasks.cardinality())
 
-            TaskReassignment.Outcome.STAYED -> journal.ended(move, MoveState.ABANDONED, MoveOutcome.NOT_TRANSFERRED)
+            TaskReassignment.Outcome.STAYED -> journal.ended(move, MoveState.ABANDONED, MoveOutcome.NOT_REASSIGNED)
 
             TaskReassignment.Outcome.PARTITION_LOST -> journal.ended(
                 move,
                 MoveState.ABANDONED,
-                MoveOutcome.OWNERSHIP_LOST,
+                MoveOutcome.LEADERSHIP_LOST,
             )
         }
     }
 
-    /** The owner is another by now, or load spread was switched off: nothing is followed any more. */
-    fun giveUp(now: Long) {
+    /** Stops tracking all open moves: the partition has another leader, or load spread was switched off. */
+    fun stopTracking(now: Long) {
         for (move in open) {
-            move.advance(now, ownsPartition())
+            move.advance(now, leadsPartition())
             if (move.state.isFinal) journal.ended(move, now)
         }
         open.clear()
--- a/src/main/kotlin/io/otterknot/rebalance/MoveJournal.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveJournal.kt
@@ -5,7 +5,7 @@
 import kotlinx.serialization.Serializable
 import org.slf4j.LoggerFactory
 
-/** What a line of a controller's log says of load spread; `otterknot moves` reads such lines. */
+/** One load-spread line of a controller's log; its JSON is a format that `otterknot moves` reads. */
 @Serializable
 sealed interface MoveEvent {
     /** A move has ended. */
@@ -39,41 +39,44 @@
         /** By team: how often a job of it was looked at and left where it was, by reason. */
         val refused: Map<String, Map<RefusalReason, Int>> = emptyMap(),
         /** How many plans were not made, by reason. */
-        val paused: Map<PauseReason, Int> = emptyMap(),
+        val paused: Map<PlanningPauseReason, Int> = emptyMap(),
         /** By team: task-seconds of waiting, by cause. */
         val waits: Map<String, Map<WaitCause, Double>> = emptyMap(),
     ) : MoveEvent
 }
 
+/** How a move is carried out: waiting tasks are reassigned, a running task is stopped and placed anew. */
 @Serializable
 enum class MoveKind {
     @SerialName("handover")
-    HANDOVER,
+    REASSIGNMENT,
 
     @SerialName("stop")
     STOP,
 }
 
-/** Tells in the log which moves of a partition were made, refused and why. */
-class MoveJournal(private val zone: String, private var sinceMs: Long, private val onlyPlans: Boolean) {
+/** Logs the moves of one partition and summaries of refusals and pauses; `otterknot moves` reads these lines. */
+class MoveJournal(private val zone: String, private var sinceMs: Long, private val observeOnly: Boolean) {
     private val log = LoggerFactory.getLogger(MoveJournal::class.java)
     private val refused = HashMap<String, HashMap<RefusalReason, Int>>()
-    private val paused = HashMap<PauseReason, Int>()
+    private val paused = HashMap<PlanningPauseReason, Int>()
     private val waits = HashMap<String, HashMap<WaitCause, Double>>()
 
-    /** How many moves ended in each state; tests count them. */
-    val ends = HashMap<Pair<MoveKind, MoveState>, Int>()
+    /** Moves that ended since this journal was made, by kind and state. */
+    val endedMoveCounts = HashMap<Pair<MoveKind, MoveState>, Int>()
 
+    /** Logs a move whose execution begins. */
     fun proposed(move: Move) {
-        log.debug("{}: {}", zone, move)
+        log.debug("partition={} move proposed move={}", zone, move)
     }
 
-    /** A move that nothing follows: planned only, or over at once. */
+    /** Logs a move that is not tracked: planned only, or over at once. */
     fun ended(move: Move, state: MoveState, outcome: MoveOutcome?, tasks: Int = 1) =
-        tell(event(move, state, outcome, tasks, null, null))
+        logEnded(event(move, state, outcome, tasks, null, null))
 
+    /** Logs a tracked move that has reached a final state. */
     fun ended(open: OpenMove, now: Long) =
-        tell(event(open.move, open.state, open.outcome, 1, open.placedOn, open.tookMs(now)))
+        logEnded(event(open.move, open.state, open.outcome, 1, open.placedOn, open.elapsedMs(now)))
 
     private fun event(
         move: Move,
@@ -86,42 +89,44 @@
         zone = zone,
         team = move.team,
         job = move.job,
-        kind = if (move is Move.HandOver) MoveKind.HANDOVER else MoveKind.STOP,
+        kind = if (move is Move.Reassignment) MoveKind.REASSIGNMENT else MoveKind.STOP,
         state = state,
         reason = move.reason,
         gainS = rounded(move.gainS),
         tasks = tasks,
-        target = (move as? Move.HandOver)?.target ?: placedOn,
+        target = (move as? Move.Reassignment)?.target ?: placedOn,
         beneficiary = (move as? Move.Stop)?.beneficiary,
         lostCoreS = rounded((move as? Move.Stop)?.lostCoreS ?: 0.0),
         outcome = outcome,
         tookMs = tookMs,
-        planned = onlyPlans,
+        planned = observeOnly,
     )
 
-    private fun tell(event: MoveEvent.Ended) {
-        ends.merge(event.kind to event.state, 1, Int::plus)
+    private fun logEnded(event: MoveEvent.Ended) {
+        endedMoveCounts.merge(event.kind to event.state, 1, Int::plus)
         if (log.isInfoEnabled) log.info("{}{}", MARK, encode(event))
     }
 
-    fun refused(refusals: List<Refusal>) {
+    /** Counts [refusals] for the next summary. */
+    fun refused(refusals: List<MoveRefusal>) {
         for (refusal in refusals) {
             refused.getOrPut(refusal.team) { HashMap() }.merge(refusal.reason, 1, Int::plus)
         }
     }
 
-    fun paused(reason: PauseReason) {
+    /** Counts a plan that was not made for the next summary. */
+    fun paused(reason: PlanningPauseReason) {
         paused.merge(reason, 1, Int::plus)
     }
 
-    /** So many tasks of [team] waited for so long because of [cause]. */
+    /** Adds [taskSeconds] that tasks of [team] waited because of [cause] to the next summary. */
     fun waited(team: String, cause: WaitCause, taskSeconds: Double) {
         if (taskSeconds > 0) waits.getOrPut(team) { HashMap() }.merge(cause, taskSeconds, Double::plus)
     }
 
-    /** Tells now and then what has added up. */
-    fun summariseNowAndThen(now: Long) {
-        if (now - sinceMs < SUMMARY_MS) return
+    /** Logs what has been counted since the last summary, if [SUMMARY_INTERVAL_MS] have passed. */
+    fun logSummaryIfDue(now: Long) {
+        if (now - sinceMs < SUMMARY_INTERVAL_MS) return
         val isQuiet = refused.isEmpty() && paused.isEmpty() && waits.isEmpty()
         if (!isQuiet && log.isInfoEnabled) log.info("{}{}", MARK, encode(summary(now)))
         sinceMs = now
@@ -139,10 +144,11 @@
     )
 
     companion object {
-        /** What stands before the JSON in a line of the log. */
+        /** Stands before the JSON in a line of the log; a format, never changed. */
         const val MARK = "load-spread "
-        private const val SUMMARY_MS = 30_000L
+        private const val SUMMARY_INTERVAL_MS = 30_000L
 
+        /** The JSON of [event], as it stands after [MARK]. */
         fun encode(event: MoveEvent): String = WireJson.encodeToString(MoveEvent.serializer(), event)
 
         private fun rounded(value: Double) = Math.round(value * 10) / 10.0
--- a/src/main/kotlin/io/otterknot/rebalance/Planner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MovePlanner.kt
@@ -6,18 +6,18 @@
  * Plans the moves of one partition. The same snapshot always gives the same plan: it reads no clock, and what is random
  * in it, the sample of machines, was drawn when the snapshot was taken.
  */
-class Planner(private val settings: LoadSpreadSettings) {
-    private val handOvers = HandOverPlanner(settings)
+class MovePlanner(private val settings: LoadSpreadSettings) {
+    private val handOvers = ReassignmentPlanner(settings)
     private val guarantees = GuaranteePlanner(settings)
     private val drains = DrainPlanner(settings)
 
-    fun plan(snapshot: PlannerSnapshot): Plan {
-        val parts = ArrayList<Plan>()
+    fun plan(snapshot: PlannerSnapshot): MovePlan {
+        val parts = ArrayList<MovePlan>()
         val limits = StopLimits(settings, snapshot)
         if (settings.drains) parts.add(drains.plan(snapshot, limits))
         if (settings.guarantees) parts.add(guarantees.plan(snapshot, limits))
         if (settings.handOvers) parts.add(handOvers.plan(snapshot))
-        return Plan(withoutRepeats(parts.flatMap { it.moves }), parts.flatMap { it.refusals })
+        return MovePlan(withoutRepeats(parts.flatMap { it.moves }), parts.flatMap { it.refusals })
     }
 
     /** A task may be on a machine that is being emptied, and in the way of another team's guarantee as well. */
--- a/src/main/kotlin/io/otterknot/rebalance/MoveReport.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveReport.kt
@@ -1,10 +1,12 @@
 package io.otterknot.rebalance
 
 import io.otterknot.wire.WireJson
+import kotlinx.serialization.KSerializer
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.SerializationException
+import java.util.TreeMap
 
-/** How many moves of one kind and reason ended in one way. */
+/** How many moves of one kind, reason and outcome ended. */
 @Serializable
 data class MoveCount(
     val kind: MoveKind,
@@ -17,7 +19,7 @@
     val lostCoreS: Double,
 )
 
-/** What a log says of one team. */
+/** The moves, refusals and waits of one team. */
 @Serializable
 data class TeamReport(
     val team: String,
@@ -27,80 +29,79 @@
     val waits: Map<WaitCause, Double>,
 )
 
-/** What the logs of controllers say of load spread. */
+/** The load-spread events of controllers' logs, counted by team. */
 @Serializable
-data class LogReport(
+data class MoveLogReport(
     val events: Int,
     val unreadable: Int,
     val teams: List<TeamReport>,
-    val paused: Map<PauseReason, Int>,
+    val paused: Map<PlanningPauseReason, Int>,
 )
 
-/** Reads the lines of controllers' logs that load spread wrote, and adds them up by team. */
+/** Reads the lines that [MoveJournal] wrote to controllers' logs and counts them by team, for `otterknot moves`. */
 object MoveReport {
-    private const val MARKED = MoveJournal.MARK + "{"
+    private const val MARKED_JSON_START = MoveJournal.MARK + "{"
+    private const val NO_EVENTS = "The log says nothing of load spread. Is it off, or LOG_LEVEL below info?"
 
-    /** Whether a line of a log is one of load spread's. */
-    fun isMarked(line: String): Boolean = MARKED in line
+    /** Whether [line] was written by [MoveJournal]. */
+    fun isMarked(line: String): Boolean = MARKED_JSON_START in line
 
-    /** The event of one line of a log; null: the line says nothing of load spread. */
+    /** The event in one [line] of a log; null if the line is not one of [MoveJournal]. */
     @Throws(SerializationException::class)
     fun eventOf(line: String): MoveEvent? {
-        val mark = line.indexOf(MARKED)
+        val mark = line.indexOf(MARKED_JSON_START)
         if (mark < 0) return null
         return WireJson.decodeFromString(MoveEvent.serializer(), line.substring(mark + MoveJournal.MARK.length))
     }
 
-    fun of(lines: Sequence<String>): LogReport {
+    /** Reads [lines] and counts their events by team; lines without the mark are passed over. */
+    fun of(lines: Sequence<String>): MoveLogReport {
         val events = ArrayList<MoveEvent>()
         var unreadable = 0
         for (line in lines) {
             try {
                 eventOf(line)?.let(events::add)
-            } catch (e: SerializationException) {
+            } catch (expected: SerializationException) {
+                // An event of a newer version; the report says how many there were.
                 unreadable++
             }
         }
         val summaries = events.filterIsInstance<MoveEvent.Summary>()
         val ended = events.filterIsInstance<MoveEvent.Ended>()
-        val names = ended.map { it.team } + summaries.flatMap { it.refused.keys + it.waits.keys }
-        return LogReport(
+        val teamNames = ended.map { it.team } + summaries.flatMap { it.refused.keys + it.waits.keys }
+        return MoveLogReport(
             events = events.size,
             unreadable = unreadable,
-            teams = names.distinct().sorted().map { team(it, ended, summaries) },
-            paused = added(summaries.map { it.paused }, Int::plus),
+            teams = teamNames.distinct().sorted().map { team(it, ended, summaries) },
+            paused = mergeCounts(summaries.map { it.paused }, Int::plus),
         )
     }
 
     private fun team(name: String, ended: List<MoveEvent.Ended>, summaries: List<MoveEvent.Summary>) = TeamReport(
         team = name,
-        moves = ended.filter { it.team == name }.groupBy(::shapeOf).map { (shape, events) ->
-            shape.copy(
+        moves = ended.filter { it.team == name }.groupBy(::categoryOf).map { (category, events) ->
+            category.copy(
                 moves = events.size,
                 tasks = events.sumOf { it.tasks },
                 lostCoreS = Math.round(events.sumOf { it.lostCoreS } * 10) / 10.0,
             )
         }.sortedWith(compareBy({ it.kind }, { it.reason }, { it.state }, { it.outcome })),
-        refused = added(summaries.mapNotNull { it.refused[name] }, Int::plus),
-        waits = added(summaries.mapNotNull { it.waits[name] }, Double::plus),
+        refused = mergeCounts(summaries.mapNotNull { it.refused[name] }, Int::plus),
+        waits = mergeCounts(summaries.mapNotNull { it.waits[name] }, Double::plus),
     )
 
-    private fun shapeOf(event: MoveEvent.Ended) =
+    private fun categoryOf(event: MoveEvent.Ended) =
         MoveCount(event.kind, event.reason, event.state, event.outcome, event.planned, 0, 0, 0.0)
 
-    private fun <K : Comparable<K>, V : Any> added(maps: List<Map<K, V>>, plus: (V, V) -> V): Map<K, V> {
-        val sum = java.util.TreeMap<K, V>()
+    private fun <K : Comparable<K>, V : Any> mergeCounts(maps: List<Map<K, V>>, plus: (V, V) -> V): Map<K, V> {
+        val sum = TreeMap<K, V>()
         for (map in maps) map.forEach { (key, value) -> sum.merge(key, value, plus) }
         return sum
     }
 
     /** The report as an operator reads it. */
-    fun text(report: LogReport): List<String> {
-        if (report.events ==
-            0
-        ) {
-            return listOf("The log says nothing of load spread. Is it off, or LOG_LEVEL below info?")
-        }
+    fun text(report: MoveLogReport): List<String> {
+        if (report.events == 0) return listOf(NO_EVENTS)
         val lines = ArrayList<String>()
         for (team in report.teams) {
             lines.add("team ${team.team}")
@@ -113,13 +114,10 @@
             }
         }
         report.paused.mapTo(lines) { (reason, count) ->
-            "no plan was made $count times: ${nameOf(PauseReason.serializer(), reason)}"
-        }
-        if (report.unreadable >
-            0
-        ) {
-            lines.add("${report.unreadable} lines could not be read; are they of a newer version?")
+            "no plan was made $count times: ${nameOf(PlanningPauseReason.serializer(), reason)}"
         }
+        val hasUnreadable = report.unreadable > 0
+        if (hasUnreadable) lines.add("${report.unreadable} lines could not be read; are they of a newer version?")
         return lines
     }
 
@@ -133,6 +131,6 @@
     }
 
     /** The name of an entry as it stands in the log. */
-    private fun <E : Enum<E>> nameOf(serializer: kotlinx.serialization.KSerializer<E>, entry: E): String =
+    private fun <E : Enum<E>> nameOf(serializer: KSerializer<E>, entry: E): String =
         serializer.descriptor.getElementName(entry.ordinal)
 }
--- a/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
@@ -12,11 +12,11 @@
     @SerialName("proposed")
     PROPOSED,
 
-    /** The task was told to stop, or is to be with the next answer to its machine. */
+    /** The task was commanded to stop, or will be with the next heartbeat response to its machine. */
     @SerialName("stopping")
     STOPPING,
 
-    /** It is on no machine any more, and waits. */
+    /** It has left its machine and waits. */
     @SerialName("stopped")
     STOPPED,
 
@@ -24,7 +24,7 @@
     @SerialName("placed")
     PLACED,
 
-    /** The move came to nothing; the task is an ordinary one again, or over. */
+    /** The move failed; the task is an ordinary one again, or finished. */
     @SerialName("abandoned")
     ABANDONED,
     ;
@@ -32,17 +32,17 @@
     val isFinal: Boolean get() = this == PLACED || this == ABANDONED
 }
 
-/** What became of a move that did not end as it was meant. */
+/** Why a move did not end as planned. */
 @Serializable
 enum class MoveOutcome {
     @SerialName("the task completed first")
     COMPLETED_FIRST,
 
     @SerialName("the job is over")
-    JOB_OVER,
+    JOB_FINISHED,
 
     @SerialName("the partition has another owner")
-    OWNERSHIP_LOST,
+    LEADERSHIP_LOST,
 
     @SerialName("its machine was lost")
     MACHINE_LOST,
@@ -51,19 +51,19 @@
     TASK_GONE,
 
     @SerialName("the handover was not carried out")
-    NOT_TRANSFERRED,
+    NOT_REASSIGNED,
 
     @SerialName("not placed anew for long")
     NOT_PLACED,
 }
 
 /**
- * A running task on its way from one machine to another, as one owner follows it. It holds nothing that the ledger does
- * not hold: should the owner vanish at any step, the next one finds an ordinary task that runs, or one that waits.
+ * A running task on its way from one machine to another, as one leader tracks it. All state that matters is in the
+ * [Partition]: should the leader fail at any step, the next one finds an ordinary task that runs, or one that waits.
  *
- * Every step is read off the ledger, which reports change: so a completion that meets the stop wins, since the ledger
- * has it as completed; a cancellation wins over both, since the job is over; and a stop that is not answered ends with
- * the machine's lease, after which the ledger holds no attempt any more.
+ * Each step is derived from the partition's state, which heartbeats change. So a completion that crosses the stop
+ * wins, since the task is recorded as completed; a cancellation wins over both, since the job has finished; and a stop
+ * without a response ends with the machine's lease, after which the partition has no such attempt.
  */
 class OpenMove(
     val move: Move.Stop,
@@ -78,49 +78,49 @@
     var outcome: MoveOutcome? = null
         private set
 
-    /** Where the task went. */
+    /** The machine that the task was placed on; null: not placed yet, or now in another partition. */
     var placedOn: String? = null
         private set
     private var stoppedMs = 0L
 
-    /** Tells the ledger to stop the attempt. */
+    /** Requests the stop of the attempt. */
     fun begin(now: Long) {
         state = MoveState.STOPPING
         partition.stopForMove(attempt)
-        advance(now, ownsPartition = true)
+        advance(now, isLeader = true)
     }
 
-    /** Reads off the ledger how far it has come; whether that is further than before. */
-    fun advance(now: Long, ownsPartition: Boolean): Boolean {
+    /** Updates [state] from the partition; returns whether it has changed. */
+    fun advance(now: Long, isLeader: Boolean): Boolean {
         val before = state
         when {
             state.isFinal -> Unit
-            !ownsPartition -> abandon(MoveOutcome.OWNERSHIP_LOST)
+            !isLeader -> abandon(MoveOutcome.LEADERSHIP_LOST)
             isCompleted() -> abandon(MoveOutcome.COMPLETED_FIRST)
-            job.finished -> abandon(MoveOutcome.JOB_OVER)
-            state == MoveState.STOPPING -> lookWhetherStopped(now)
-            state == MoveState.STOPPED -> lookWhetherPlaced(now)
+            job.finished -> abandon(MoveOutcome.JOB_FINISHED)
+            state == MoveState.STOPPING -> checkStopped(now)
+            state == MoveState.STOPPED -> checkPlaced(now)
         }
         return state != before
     }
 
     private fun isCompleted() = job.unrecordedCompletions.get(move.task) || job.job.completedTasks.get(move.task)
 
-    private fun lookWhetherStopped(now: Long) {
+    private fun checkStopped(now: Long) {
         if (attempt.occupiesMachine) return
         val machine = partition.machine(move.machine)
         if (machine == null || machine.leaseExpired) outcome = MoveOutcome.MACHINE_LOST
         state = MoveState.STOPPED
         stoppedMs = now
-        lookWhetherPlaced(now)
+        checkPlaced(now)
     }
 
-    private fun lookWhetherPlaced(now: Long) {
+    private fun checkPlaced(now: Long) {
         val next = job.active.get(move.task)
         when {
             next != null && next !== attempt -> place(next.machine.id)
             !job.owned.get(move.task) -> place(null)
-            now - stoppedMs > LONGEST_WAIT_MS -> abandon(MoveOutcome.NOT_PLACED)
+            now - stoppedMs > MAX_TRACKED_WAIT_MS -> abandon(MoveOutcome.NOT_PLACED)
         }
     }
 
@@ -134,10 +134,11 @@
         state = MoveState.ABANDONED
     }
 
-    fun tookMs(now: Long): Long = now - sinceMs
+    /** Milliseconds since the move began. */
+    fun elapsedMs(now: Long): Long = now - sinceMs
 
     private companion object {
-        /** Followed no longer than this; the task waits on as any other. */
-        const val LONGEST_WAIT_MS = 120_000L
+        /** Tracked no longer than this after the stop; the task then waits as any other. */
+        const val MAX_TRACKED_WAIT_MS = 120_000L
     }
 }
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/rebalance/PartitionRebalancer.kt
@@ -0,0 +1,94 @@
+package io.otterknot.rebalance
+
+import io.otterknot.config.LoadSpreadMode
+import io.otterknot.config.LoadSpreadSettings
+import io.otterknot.partition.Partition
+import io.otterknot.reassignment.TaskReassignment
+import io.otterknot.wire.JobSpec
+import kotlin.random.Random
+
+/**
+ * Plans and executes the moves of one partition, as long as this controller leads it under one fencing token and the
+ * settings stay the same.
+ */
+internal class PartitionRebalancer(
+    val partition: Partition,
+    private val settings: LoadSpreadSettings,
+    reassignment: TaskReassignment,
+    isLed: (Partition) -> Boolean,
+    targets: (JobSpec) -> List<String>,
+    random: Random,
+    now: Long,
+) {
+    private val isActing = settings.mode == LoadSpreadMode.ACT
+    private val history = MoveHistory()
+    private val budget = LostWorkBudget(now)
+    private val planner = MovePlanner(settings)
+    private val snapshotBuilder = SnapshotBuilder(settings, targets, random)
+    private val waitCauses = WaitCauses(settings.examinedJobs)
+    private var waitCausesCountedMs = now
+
+    val journal = MoveJournal(partition.zone, now, observeOnly = !isActing)
+    val moveExecutor = MoveExecutor(partition, reassignment, journal, history, budget) { isLed(partition) }
+
+    /** Whether the last round made a plan. */
+    var isPlanning = false
+        private set
+
+    /**
+     * One round: follows the open moves, plans, and begins the stops. Returns the reassignments to execute; none if
+     * [pausedBy] is not null or load spread only observes. [now]: steady clock; [wallMs]: time of day.
+     */
+    fun runRound(
+        cluster: ClusterPressure,
+        pausedBy: PlanningPauseReason?,
+        now: Long,
+        wallMs: Long,
+    ): List<Move.Reassignment> {
+        moveExecutor.advance(now)
+        history.evictExpired(partition, now, (settings.taskCooldownS * 1000).toLong())
+        countWaits(cluster, now)
+        journal.logSummaryIfDue(now)
+        isPlanning = pausedBy == null
+        if (pausedBy != null) {
+            journal.paused(pausedBy)
+            return emptyList()
+        }
+        budget.refill(now, cluster.partitions.getValue(partition.zone).capacity.cores, settings.lostWorkShare)
+        val open = moveExecutor.summarizeOpenMoves()
+        val plan = planner.plan(
+            snapshotBuilder.build(partition, cluster, history, open, budget.availableCoreS, now, wallMs),
+        )
+        journal.refused(plan.refusals)
+        return if (isActing) execute(plan, now) else journalOnly(plan)
+    }
+
+    private fun execute(plan: MovePlan, now: Long): List<Move.Reassignment> {
+        plan.moves.filterIsInstance<Move.Stop>().forEach { moveExecutor.stop(it, now) }
+        return plan.moves.filterIsInstance<Move.Reassignment>()
+    }
+
+    private fun journalOnly(plan: MovePlan): List<Move.Reassignment> {
+        plan.moves.forEach { journal.ended(it, MoveState.PROPOSED, null) }
+        return emptyList()
+    }
+
+    private fun countWaits(cluster: ClusterPressure, now: Long) {
+        if (now - waitCausesCountedMs < WAIT_CAUSES_INTERVAL_MS) return
+        val seconds = (now - waitCausesCountedMs) / 1000.0
+        waitCausesCountedMs = now
+        for ((team, counts) in waitCauses.count(partition, cluster, now)) {
+            for ((cause, tasks) in counts) journal.waited(team, cause, tasks * seconds)
+        }
+    }
+
+    /** Ends this rebalancer: the partition has another leader, or the settings have changed. */
+    fun close(now: Long) {
+        moveExecutor.stopTracking(now)
+        isPlanning = false
+    }
+
+    private companion object {
+        const val WAIT_CAUSES_INTERVAL_MS = 3_000L
+    }
+}
--- a/src/main/kotlin/io/otterknot/rebalance/PlannerSnapshot.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PlannerSnapshot.kt
@@ -13,9 +13,9 @@
     val covered: Boolean,
     val waitedS: Double,
     /** None of it is on a machine or may be, so that it can be moved as a whole. */
-    val allWaits: Boolean,
+    val isEntirelyPending: Boolean,
     /** How long ago some of its tasks were last handed over to this partition; null: never. */
-    val arrivedS: Double? = null,
+    val secondsSinceArrival: Double? = null,
 ) {
     val team: String get() = spec.team
     val waitingCores: Double get() = waiting * spec.cores
@@ -30,9 +30,9 @@
     val elapsedS: Double,
     val remainingS: Double,
     /** Told to stop, saving, or kept for some reason: it is left alone. */
-    val isBusyOrKept: Boolean,
+    val isExemptFromStop: Boolean,
     /** It was stopped a while ago. */
-    val coolsDown: Boolean,
+    val isCoolingDown: Boolean,
 ) {
     val team: String get() = spec.team
     val priority: Priority get() = spec.priority
@@ -43,7 +43,7 @@
 }
 
 /** A machine, as the planner sees it. */
-data class MachineState(
+data class MachineSnapshot(
     val id: String,
     val type: String,
     val spot: Boolean,
@@ -82,7 +82,7 @@
     val stoppingCoresByTeam: Map<String, Double> = emptyMap(),
     /** Tasks being stopped for each job that is to get the room. */
     val stopsForJob: Map<String, Int> = emptyMap(),
-    val handOverUnderWay: Boolean = false,
+    val reassignmentInProgress: Boolean = false,
 )
 
 /** All that a plan for one partition rests on. */
@@ -92,7 +92,7 @@
     /** What waits, the most urgent first. */
     val waiting: List<WaitingJob>,
     /** Machines that were looked at; all of those that are being emptied, and a sample of the others. */
-    val machines: List<MachineState>,
+    val machines: List<MachineSnapshot>,
     /** Of the machines in use, the share that was drawn. */
     val sampledShare: Double,
     val runningTasks: Int,
@@ -102,5 +102,5 @@
     /** Partitions that have an owner and offer a machine type that the job may use. */
     val targets: (JobSpec) -> List<String>,
     /** Core-seconds that may be thrown away now. */
-    val lostWorkLeft: Double,
+    val lostWorkBudgetCoreS: Double,
 )
--- a/src/main/kotlin/io/otterknot/rebalance/Pressure.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/Pressure.kt
@@ -38,8 +38,8 @@
 }
 
 /** All partitions and teams together, as one controller sees them at one moment. */
-class ClusterPressure(val partitions: Map<String, PartitionPressure>, private val teams: Map<String, TeamTerms>) {
-    private val runS = partitions.values.mapNotNull { it.meanRunS }.ifEmpty { null }?.average() ?: DEFAULT_RUN_S
+class ClusterPressure(val partitions: Map<String, PartitionPressure>, private val teams: Map<String, TeamEntitlement>) {
+    private val runS = partitions.values.mapNotNull { it.meanRunS }.ifEmpty { null }?.average() ?: DEFAULT_RUN_TIME_S
 
     /** Cores alone where some owner does not publish what else its machines have. */
     private val capacity: Resources = partitions.values.fold(Resources.NONE) { sum, it ->
@@ -64,7 +64,7 @@
         FairShares.of(teams.map { (team, terms) -> demand(team, terms) })
     }
 
-    private fun demand(team: String, terms: TeamTerms): TeamDemand {
+    private fun demand(team: String, terms: TeamEntitlement): TeamDemand {
         val waiting = partitions.values.sumOf { it.teams?.get(team)?.waitingCores ?: 0.0 }
         val demand = (used(team) + Resources(cores = waiting)).dominantShare(capacity)
         val guaranteed = Resources(cores = terms.guaranteedCores, cards = terms.guaranteedCards)
@@ -110,9 +110,9 @@
     fun runS(zone: String): Double = partitions[zone]?.meanRunS ?: runS
 
     private companion object {
-        const val DEFAULT_RUN_S = 15.0
+        const val DEFAULT_RUN_TIME_S = 15.0
     }
 }
 
 /** What the settings promise a team. */
-data class TeamTerms(val guaranteedCores: Double, val guaranteedCards: Double, val weight: Double)
+data class TeamEntitlement(val guaranteedCores: Double, val guaranteedCards: Double, val weight: Double)
--- a/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
@@ -16,11 +16,12 @@
     private val partitions: Map<String, Partition>,
     private val views: Map<String, PartitionView>,
 ) {
-    private val terms: Map<String, TeamTerms> = teams.associate {
-        it.name to TeamTerms(it.cpus, it.gpus, weight = if (it.cpus > 0) it.cpus else 1.0)
+    private val terms: Map<String, TeamEntitlement> = teams.associate {
+        it.name to TeamEntitlement(it.cpus, it.gpus, weight = if (it.cpus > 0) it.cpus else 1.0)
     }
 
-    fun look(): ClusterPressure {
+    /** The pressure on all partitions now. */
+    fun clusterPressure(): ClusterPressure {
         val all = views.keys.associateWith { zone -> partitions[zone]?.let(::own) ?: published(views.getValue(zone)) }
         return ClusterPressure(all, terms)
     }
@@ -64,8 +65,8 @@
     private fun meanRunS(partition: Partition): Double? = partition.meanRunMs?.let { it / 1000 }
 
     private fun images(partition: Partition): List<String> {
-        val fewest = maxOf(1, (partition.machines.size * COMMON_SHARE).toInt())
-        return partition.imageCounts.mostCommon(MOST_IMAGES, fewest)
+        val fewest = maxOf(1, (partition.machines.size * COMMON_IMAGE_MACHINE_SHARE).toInt())
+        return partition.imageCounts.mostCommon(MAX_PUBLISHED_IMAGES, fewest)
     }
 
     private fun teams(partition: Partition): Map<String, TeamPressure> {
@@ -98,7 +99,7 @@
 
     private companion object {
         /** An image on this share of the machines is at hand: among two samples one has it more often than not. */
-        const val COMMON_SHARE = 0.3
-        const val MOST_IMAGES = 12
+        const val COMMON_IMAGE_MACHINE_SHARE = 0.3
+        const val MAX_PUBLISHED_IMAGES = 12
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/QuotaCoverage.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/QuotaCoverage.kt
@@ -42,7 +42,7 @@
         val covered = HashSet<String>()
         for ((team, ofTeam) in jobs.groupBy { it.team }) {
             val guarantee = guarantees[team] ?: continue
-            val inOrder = ofTeam.sortedWith(ORDER)
+            val inOrder = ofTeam.sortedWith(MOST_URGENT_FIRST)
             var taken = QuotaAmount()
             for (job in inOrder) {
                 taken += job.amount
@@ -54,10 +54,10 @@
     }
 
     private fun fits(taken: QuotaAmount, guarantee: TeamSettings): Boolean =
-        taken.cores <= guarantee.cpus + EPS && taken.cards <= guarantee.gpus + EPS
+        taken.cores <= guarantee.cpus + RESOURCE_EPSILON && taken.cards <= guarantee.gpus + RESOURCE_EPSILON
 
     private companion object {
-        const val EPS = 1e-6
-        val ORDER = compareBy<UnfinishedJob> { it.priority }.thenBy { it.submittedMs }.thenBy { it.id }
+        const val RESOURCE_EPSILON = 1e-6
+        val MOST_URGENT_FIRST = compareBy<UnfinishedJob> { it.priority }.thenBy { it.submittedMs }.thenBy { it.id }
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/HandOverPlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/ReassignmentPlanner.kt
@@ -4,29 +4,29 @@
 import io.otterknot.scheduling.LongWait
 
 /**
- * Decides which waiting tasks go to which partition. A task goes where it is expected to begin sooner, its image and the
- * handover itself counted; so many of them go that both waits meet, or they would swing back.
+ * Decides which waiting tasks are reassigned to which partition: the one where they are expected to start sooner, the
+ * image fetch and the reassignment itself included. Only as many go as make both waits equal, or they would oscillate.
  */
-class HandOverPlanner(private val settings: LoadSpreadSettings) {
+class ReassignmentPlanner(private val settings: LoadSpreadSettings) {
     private val weights = CostWeights(settings)
 
-    fun plan(snapshot: PlannerSnapshot): Plan {
-        if (snapshot.open.handOverUnderWay) return Plan.EMPTY
+    fun plan(snapshot: PlannerSnapshot): MovePlan {
+        if (snapshot.open.reassignmentInProgress) return MovePlan.EMPTY
         val moves = ArrayList<Move>()
-        val refusals = ArrayList<Refusal>()
+        val refusals = ArrayList<MoveRefusal>()
         val taken = HashMap<String, Double>()
         for (job in snapshot.waiting.take(settings.examinedJobs)) {
             if (moves.size >= settings.handOversPerPlan) {
-                refusals.add(Refusal(job.team, job.spec.id, RefusalReason.TOO_MANY_MOVES))
+                refusals.add(MoveRefusal(job.team, job.spec.id, RefusalReason.TOO_MANY_MOVES))
                 continue
             }
-            val refused = hindrance(job)
+            val refused = refusalReason(job)
             if (refused != null) {
-                refusals.add(Refusal(job.team, job.spec.id, refused))
+                refusals.add(MoveRefusal(job.team, job.spec.id, refused))
                 continue
             }
             when (val choice = choose(job, snapshot, taken)) {
-                is Choice.Refused -> refusals.add(Refusal(job.team, job.spec.id, choice.reason))
+                is Choice.Refused -> refusals.add(MoveRefusal(job.team, job.spec.id, choice.reason))
 
                 is Choice.Chosen -> {
                     moves.add(choice.move)
@@ -35,21 +35,21 @@
                 }
             }
         }
-        return Plan(moves, refusals)
+        return MovePlan(moves, refusals)
     }
 
-    private fun hindrance(job: WaitingJob): RefusalReason? {
-        val arrivedS = job.arrivedS
+    private fun refusalReason(job: WaitingJob): RefusalReason? {
+        val secondsSinceArrival = job.secondsSinceArrival
         return when {
             job.spec.zone != null -> RefusalReason.BOUND_TO_ZONE
-            job.spec.sameZone && !job.allWaits -> RefusalReason.PARTLY_PLACED
-            arrivedS != null && arrivedS < settings.returnAfterS -> RefusalReason.JUST_ARRIVED
+            job.spec.sameZone && !job.isEntirelyPending -> RefusalReason.PARTLY_PLACED
+            secondsSinceArrival != null && secondsSinceArrival < settings.returnAfterS -> RefusalReason.JUST_ARRIVED
             else -> null
         }
     }
 
     private sealed interface Choice {
-        class Chosen(val move: Move.HandOver) : Choice
+        class Chosen(val move: Move.Reassignment) : Choice
         class Refused(val reason: RefusalReason) : Choice
     }
 
@@ -67,7 +67,7 @@
         val isTooLarge = spec.sameZone && reason != MoveReason.OVERDUE && job.waitingCores > amount * 2
         if (isTooLarge) return Choice.Refused(RefusalReason.GAIN_TOO_SMALL)
         val cores = if (spec.sameZone) job.waitingCores else minOf(job.waitingCores, maxOf(amount, spec.cores))
-        return Choice.Chosen(Move.HandOver(snapshot.zone, job.team, spec.id, reason, gainS, cores, target))
+        return Choice.Chosen(Move.Reassignment(snapshot.zone, job.team, spec.id, reason, gainS, cores, target))
     }
 
     private fun reason(job: WaitingJob, target: String, gainS: Double, snapshot: PlannerSnapshot): MoveReason? {
@@ -92,7 +92,7 @@
         val partition = snapshot.cluster.partitions.getValue(zone)
         val extraS = (taken[zone] ?: 0.0) / partition.coresFor(spec) * snapshot.cluster.runS(zone)
         val waitS = snapshot.cluster.waitS(job.team, zone, spec) + extraS
-        return PlaceCost(maxOf(0.0, waitS), partition.imageCost(spec, NOMINAL_GB_PER_S))
+        return PlaceCost(maxOf(0.0, waitS), partition.imageCost(spec, NOMINAL_FETCH_GB_PER_S))
     }
 
     /** Half of the difference, in cores of the smaller partition: both waits then meet, and nothing swings back. */
@@ -105,6 +105,6 @@
 
     private companion object {
         /** Partitions publish no rates; machine types differ little in theirs. */
-        const val NOMINAL_GB_PER_S = 1.0
+        const val NOMINAL_FETCH_GB_PER_S = 1.0
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
@@ -11,33 +11,33 @@
 import kotlin.random.Random
 
 /**
- * Takes a [PlannerSnapshot] of a partition. Its cost is bounded by the settings wherever it is not that of the work
- * itself: so many waiting jobs are looked at, and so many machines, drawn anew for each plan.
+ * Builds the [PlannerSnapshot] of a partition. The settings bound how many waiting jobs and how many machines it
+ * examines; the machines are a sample drawn anew for each plan.
  */
 class SnapshotBuilder(
     private val settings: LoadSpreadSettings,
     private val targets: (JobSpec) -> List<String>,
     private val random: Random,
 ) {
-    /** How many jobs, machines and attempts have been looked at; tests tell the cost of a plan by it. */
-    var looks = 0L
+    /** Jobs, machines and attempts examined so far; tests measure the cost of a plan by it. */
+    var examinedItems = 0L
         private set
 
-    fun take(
+    fun build(
         partition: Partition,
         cluster: ClusterPressure,
         history: MoveHistory,
         open: OpenMoves,
-        lostWorkLeft: Double,
+        lostWorkBudgetCoreS: Double,
         now: Long,
         wallMs: Long,
     ): PlannerSnapshot {
         val inOrder = partition.pendingJobsInOrder(now)
-        looks += inOrder.size
-        history.look(inOrder, now, wallMs)
+        examinedItems += inOrder.size
+        history.recordArrivals(inOrder, now, wallMs)
         val waiting = examined(inOrder).map { waiting(partition, it, history, now, wallMs) }
-        val wantsRoom = settings.guarantees && waiting.any { it.covered && it.startable > 0 }
-        val machines = machines(partition, wantsRoom).map { machine(it, history, now) }
+        val needsStops = settings.guarantees && waiting.any { it.covered && it.startable > 0 }
+        val machines = machines(partition, needsStops).map { machine(it, history, now) }
         val running = if (machines.isEmpty()) emptyList() else running(partition)
         return PlannerSnapshot(
             zone = partition.zone,
@@ -50,11 +50,11 @@
             runningByJob = running.associate { it.id to it.active.size },
             open = open,
             targets = targets,
-            lostWorkLeft = lostWorkLeft,
+            lostWorkBudgetCoreS = lostWorkBudgetCoreS,
         )
     }
 
-    /** The jobs that a plan looks at: those within a guarantee, and the most urgent others. */
+    /** The jobs that a plan examines: those within a guarantee, and the most urgent others. */
     private fun examined(inOrder: List<PartitionJob>): List<PartitionJob> {
         val covered = inOrder.filter { it.covered }.take(settings.examinedJobs)
         val others = inOrder.filterNot { it.covered }.take(settings.examinedJobs)
@@ -65,28 +65,27 @@
         WaitingJob(
             spec = job.spec,
             waiting = job.pendingCount,
-            startable = if (job.retryAtMs >
-                now
-            ) {
-                0
-            } else {
-                minOf(job.pendingCount, maxOf(0, partition.startableTasks(job)))
-            },
+            startable = startableTasks(partition, job, now),
             covered = job.covered,
             waitedS = (wallMs - job.readyMs) / 1000.0,
-            allWaits = job.allTasksPending,
-            arrivedS = history.arrivedS(job.id, now),
+            isEntirelyPending = job.allTasksPending,
+            secondsSinceArrival = history.secondsSinceArrival(job.id, now),
         )
 
-    /** Machines that are being emptied; and, where some task is to get room, a sample of those in use. */
-    private fun machines(partition: Partition, wantsRoom: Boolean): List<Machine> {
+    private fun startableTasks(partition: Partition, job: PartitionJob, now: Long): Int {
+        val isBackingOff = job.retryAtMs > now
+        return if (isBackingOff) 0 else minOf(job.pendingCount, maxOf(0, partition.startableTasks(job)))
+    }
+
+    /** Draining machines, and a sample of those in use if a task is to get capacity by stops. */
+    private fun machines(partition: Partition, needsStops: Boolean): List<Machine> {
         val draining = if (settings.drains) partition.machines.filter(::isEmptied) else emptyList()
-        if (!wantsRoom) return draining
+        if (!needsStops) return draining
         val usable = partition.machines.filter { it.acceptsTasks }
         return draining + sample(usable)
     }
 
-    /** A machine under a notice is left to those that empty it within the time of the notice. */
+    /** A machine with a spot notice is emptied by the partition itself, within the time of the notice. */
     private fun isEmptied(machine: Machine): Boolean =
         machine.draining && !machine.hasSpotNotice && !machine.leaseExpired && machine.attempts.isNotEmpty()
 
@@ -96,10 +95,10 @@
         return List(settings.sampledMachines) { machines[(first + it) % machines.size] }
     }
 
-    private fun machine(machine: Machine, history: MoveHistory, now: Long): MachineState {
-        looks += 1 + machine.attempts.size
+    private fun machine(machine: Machine, history: MoveHistory, now: Long): MachineSnapshot {
+        examinedItems += 1 + machine.attempts.size
         val used = Resources(machine.usedCores, machine.usedMemory, machine.usedCards)
-        return MachineState(
+        return MachineSnapshot(
             id = machine.id,
             type = machine.type.name,
             spot = machine.spot,
@@ -123,15 +122,18 @@
             covered = job.covered,
             elapsedS = if (runs) (now - attempt.phaseSinceMs) / 1000.0 else 0.0,
             remainingS = maxOf(0.0, attempt.expectedRemainingMs(now) / 1000),
-            isBusyOrKept =
-            attempt.stopping || attempt.protectedFromPreemption || attempt.phase == AttemptPhase.SAVING ||
-                job.finished,
-            coolsDown = history.coolsDown(job.id, attempt.task, now, cooldownMs),
+            isExemptFromStop = isExemptFromStop(attempt),
+            isCoolingDown = history.isCoolingDown(job.id, attempt.task, now, cooldownMs),
         )
     }
 
+    private fun isExemptFromStop(attempt: Attempt): Boolean {
+        val isEnding = attempt.stopping || attempt.phase == AttemptPhase.SAVING || attempt.job.finished
+        return isEnding || attempt.protectedFromPreemption
+    }
+
     private fun running(partition: Partition): List<PartitionJob> {
-        looks += partition.jobs.size
+        examinedItems += partition.jobs.size
         return partition.jobs.filter { it.active.isNotEmpty() }
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
@@ -12,43 +12,43 @@
 enum class WaitCause {
     /** An earlier owner may have started it. */
     @SerialName("doubt")
-    DOUBT,
+    IN_DOUBT,
 
     /** It is on its way to another partition, until that change is durable. */
     @SerialName("handover")
-    HANDOVER,
+    REASSIGNMENT,
 
     /** The team's allotment in this partition, or the job's own spread over zones, is used up. */
     @SerialName("limit")
-    LIMIT,
+    QUOTA_LIMIT,
 
     /** The job failed a few times and is tried again later. */
     @SerialName("retry")
-    RETRY,
+    RETRY_BACKOFF,
 
     /** Some machine has room, which is held for other work or which a machine that is not usable yet has. */
     @SerialName("held room")
-    HELD_ROOM,
+    CAPACITY_RESERVED,
 
     /** There is no room here, but another partition has some. */
     @SerialName("room elsewhere")
-    ROOM_ELSEWHERE,
+    CAPACITY_ELSEWHERE,
 
     /** There is no room, and other teams use more of the partition than they are due. */
     @SerialName("other teams above their share")
-    OTHER_TEAMS,
+    TEAMS_ABOVE_FAIR_SHARE,
 
     /** There is no room, and nobody uses more than is due: only more machines would help. */
     @SerialName("no room")
-    NO_ROOM,
+    NO_CAPACITY,
 
     /** It has a machine, and waits for that machine's report or for the answer to arrive. */
     @SerialName("report")
-    REPORT,
+    AWAITING_HEARTBEAT,
 
     /** It has a machine, and waits for its image. */
     @SerialName("image")
-    IMAGE,
+    IMAGE_FETCH,
 }
 
 /** Tells, by team and cause, how many tasks of a partition wait now. */
@@ -59,20 +59,21 @@
         fun add(team: String, cause: WaitCause, tasks: Int) {
             if (tasks > 0) counts.getOrPut(team) { HashMap() }.merge(cause, tasks, Int::plus)
         }
-        val roomy = partition.machines.filter { it.inService && it.usedCores < it.type.cores }
+        val machinesWithFreeCores = partition.machines.filter { it.inService && it.usedCores < it.type.cores }
         var examined = 0
         for (job in partition.jobs) {
-            add(job.spec.team, WaitCause.DOUBT, job.inDoubt.cardinality())
-            add(job.spec.team, WaitCause.HANDOVER, job.beingReassigned.cardinality())
+            add(job.spec.team, WaitCause.IN_DOUBT, job.inDoubt.cardinality())
+            add(job.spec.team, WaitCause.REASSIGNMENT, job.beingReassigned.cardinality())
             for (attempt in job.active.values) {
                 when (attempt.phase) {
-                    AttemptPhase.BOOKED, AttemptPhase.SENT -> add(job.spec.team, WaitCause.REPORT, 1)
-                    AttemptPhase.FETCHING -> add(job.spec.team, WaitCause.IMAGE, 1)
+                    AttemptPhase.BOOKED, AttemptPhase.SENT -> add(job.spec.team, WaitCause.AWAITING_HEARTBEAT, 1)
+                    AttemptPhase.FETCHING -> add(job.spec.team, WaitCause.IMAGE_FETCH, 1)
                     else -> Unit
                 }
             }
             if (job.pending.isEmpty || examined++ >= examinedJobs) continue
-            for ((cause, tasks) in pending(partition, job, roomy, cluster, now)) add(job.spec.team, cause, tasks)
+            val pending = pending(partition, job, machinesWithFreeCores, cluster, now)
+            for ((cause, tasks) in pending) add(job.spec.team, cause, tasks)
         }
         return counts
     }
@@ -80,34 +81,37 @@
     private fun pending(
         partition: Partition,
         job: PartitionJob,
-        roomy: List<Machine>,
+        machinesWithFreeCores: List<Machine>,
         cluster: ClusterPressure,
         now: Long,
     ): List<Pair<WaitCause, Int>> {
-        if (job.retryAtMs > now) return listOf(WaitCause.RETRY to job.pendingCount)
+        if (job.retryAtMs > now) return listOf(WaitCause.RETRY_BACKOFF to job.pendingCount)
         val startable = minOf(job.pendingCount, maxOf(0, partition.startableTasks(job)))
-        val limited = WaitCause.LIMIT to job.pendingCount - startable
-        return listOf(limited, withoutRoom(partition, job, roomy, cluster) to startable)
+        val limited = WaitCause.QUOTA_LIMIT to job.pendingCount - startable
+        return listOf(limited, causeWithoutCapacity(partition, job, machinesWithFreeCores, cluster) to startable)
     }
 
-    private fun withoutRoom(
+    private fun causeWithoutCapacity(
         partition: Partition,
         job: PartitionJob,
-        roomy: List<Machine>,
+        machinesWithFreeCores: List<Machine>,
         cluster: ClusterPressure,
     ): WaitCause {
         val spec = job.spec
-        if (roomy.any { it.isAllowedFor(spec) && it.hasRoomFor(spec) }) return WaitCause.HELD_ROOM
-        val elsewhere = cluster.partitions.values.any { it.zone != partition.zone && it.meanFor(spec) < ROOMY }
-        if (elsewhere && spec.zone == null) return WaitCause.ROOM_ELSEWHERE
+        val hasCapacity = machinesWithFreeCores.any { it.isAllowedFor(spec) && it.hasRoomFor(spec) }
+        if (hasCapacity) return WaitCause.CAPACITY_RESERVED
+        val hasCapacityElsewhere = cluster.partitions.values.any {
+            it.zone != partition.zone && it.meanFor(spec) < MAX_MEAN_WITH_CAPACITY
+        }
+        if (hasCapacityElsewhere && spec.zone == null) return WaitCause.CAPACITY_ELSEWHERE
         val isCrowdedOut = cluster.fairShares.any { (team, due) ->
-            team != spec.team && cluster.dominantShare(team) > due + SLACK
+            team != spec.team && cluster.dominantShare(team) > due + FAIR_SHARE_TOLERANCE
         }
-        return if (isCrowdedOut) WaitCause.OTHER_TEAMS else WaitCause.NO_ROOM
+        return if (isCrowdedOut) WaitCause.TEAMS_ABOVE_FAIR_SHARE else WaitCause.NO_CAPACITY
     }
 
     private companion object {
-        const val ROOMY = 0.9
-        const val SLACK = 0.02
+        const val MAX_MEAN_WITH_CAPACITY = 0.9
+        const val FAIR_SHARE_TOLERANCE = 0.02
     }
 }
--- a/src/test/kotlin/io/otterknot/cluster/LoadSpreadClusterTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/LoadSpreadClusterTest.kt
@@ -110,7 +110,7 @@
                     delay(8_000)
                 }
                 while (!allOver()) delay(1_000)
-                val handed = moveEnds(MoveKind.HANDOVER, MoveState.PLACED)
+                val handed = moveEnds(MoveKind.REASSIGNMENT, MoveState.PLACED)
                 val stopped = moveEnds(MoveKind.STOP, MoveState.PLACED)
                 if (handed > 120 || stopped > 48) broken.add("oscillation: $handed handovers and $stopped stops")
             },
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
@@ -97,7 +97,7 @@
         assertTrue(HeartbeatCommand.halt(first.task, first.attempt, 0.0) in halts)
         val next = partition.hear("m1", 4_000, first.shown(TaskState.EXITED, ExitCause.STOPPED), second.shown())
         assertEquals("j-000002/0", next.single { it.op == CommandOperation.START }.task)
-        assertTrue(move.advance(4_000, ownsPartition = true))
+        assertTrue(move.advance(4_000, isLeader = true))
         assertEquals(MoveState.STOPPED, move.state)
     }
 
@@ -133,7 +133,7 @@
         partition.hear("m1", 3_000, first.shown(), second.shown())
         val shown = if (state == null) emptyArray() else arrayOf(first.shown(state, cause))
         partition.hear("m1", 4_000, *shown, second.shown())
-        move.advance(4_000, ownsPartition = true)
+        move.advance(4_000, isLeader = true)
         assertEquals(ends, move.state)
         assertEquals(outcome, move.outcome)
     }
@@ -147,7 +147,7 @@
             partition.hear("m1", it * 1_000, first.shown(TaskState.EXITED, ExitCause.DONE), second.shown())
         }
         assertTrue(started.none { it.op == CommandOperation.START && it.task == first.task }, "it is not started again")
-        move.advance(9_000, ownsPartition = true)
+        move.advance(9_000, isLeader = true)
         assertEquals(MoveOutcome.COMPLETED_FIRST, move.outcome)
     }
 
@@ -161,8 +161,8 @@
             },
             inherited = false,
         )
-        move.advance(2_500, ownsPartition = true)
-        assertEquals(MoveOutcome.JOB_OVER, move.outcome)
+        move.advance(2_500, isLeader = true)
+        assertEquals(MoveOutcome.JOB_FINISHED, move.outcome)
         val commands = partition.hear("m1", 3_000, first.shown(), second.shown())
         assertEquals(2, commands.count { it.op == CommandOperation.HALT })
     }
@@ -183,7 +183,7 @@
                     it.task == first.task
             }
             if (begun.isNotEmpty() && restarted == 0L) restarted = now
-            move.advance(now, ownsPartition = true)
+            move.advance(now, isLeader = true)
             if (now < 11_000) assertEquals(MoveState.STOPPING, move.state, "at $now")
         }
         assertTrue(restarted > 11_000, "started at $restarted")
@@ -194,8 +194,8 @@
     @Test
     fun `an owner that loses the partition follows nothing`() {
         val move = move(fill().getValue("m1").first())
-        move.advance(3_000, ownsPartition = false)
-        assertEquals(MoveOutcome.OWNERSHIP_LOST, move.outcome)
+        move.advance(3_000, isLeader = false)
+        assertEquals(MoveOutcome.LEADERSHIP_LOST, move.outcome)
     }
 
     /** A second stop would end the saving at once, and the progress with it. */
@@ -230,7 +230,7 @@
             second.shown(),
             noticeS = 4.0,
         )
-        move.advance(4_000, ownsPartition = true)
+        move.advance(4_000, isLeader = true)
         assertEquals(MoveState.STOPPED, move.state)
         assertTrue(after.none { it.op == CommandOperation.START }, "a machine under a notice takes nothing")
         val late = Heartbeat("m1", "", "big", "a", false, 1, 2, 7, null, listOf(first.shown()))
@@ -262,17 +262,26 @@
         partition.updateJob(job(2, 10, "blue"), inherited = false)
         partition.markCovered(1, beforeAll = true) { it.id == "j-000002" }
         val settings = LoadSpreadSettings(LoadSpreadMode.ACT, patienceS = 0.0)
-        val board = PressureTracker(teams, mapOf("a" to partition), mapOf("a" to PartitionView("a")))
+        val pressureTracker = PressureTracker(teams, mapOf("a" to partition), mapOf("a" to PartitionView("a")))
         val builder = SnapshotBuilder(settings, { listOf("a") }, Random(1))
-        val cluster = board.look()
+        val cluster = pressureTracker.clusterPressure()
         val recounts = partition.waitingWork.recounts
         names.take(50).forEach { partition.hear(it, 1_000, *starts.getValue(it).map { s -> s.shown() }.toTypedArray()) }
-        board.look()
+        pressureTracker.clusterPressure()
         assertEquals(0, partition.waitingWork.recounts - recounts, "reports that change nothing are not counted")
         val snapshot =
-            builder.take(partition, cluster, MoveHistory(), OpenMoves(), LostWorkBudget(0).left, 2_000, 10_000)
-        Planner(settings).plan(snapshot)
+            builder.build(
+                partition,
+                cluster,
+                MoveHistory(),
+                OpenMoves(),
+                LostWorkBudget(0).availableCoreS,
+                2_000,
+                10_000,
+            )
+        MovePlanner(settings).plan(snapshot)
         assertEquals(settings.sampledMachines, snapshot.machines.size)
-        assertTrue(builder.looks <= settings.sampledMachines * 4 + 10, "${builder.looks} looks")
+        val bound = settings.sampledMachines * 4 + 10
+        assertTrue(builder.examinedItems <= bound, "${builder.examinedItems} items examined")
     }
 }
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
@@ -83,9 +83,9 @@
     fun `images, queues and lost work are weighed in seconds`(
         hereS: Double,
         thereS: Double,
-        atHand: Boolean,
+        isPresent: Boolean,
         imageGb: Double,
-        sharedBy: Int,
+        concurrentFetches: Int,
         elapsedS: Double,
         checkpointS: Double,
         saveS: Double,
@@ -93,7 +93,13 @@
     ) {
         val stop = if (elapsedS < 0) null else StopCost(elapsedS, checkpointS, saveS)
         val here = PlaceCost(hereS, ImageCost(true, imageGb, 1.0))
-        val there = PlaceCost(thereS, ImageCost(atHand, imageGb, 1.0, sharedBy = sharedBy), moveS = 2.0, stop = stop)
+        val there =
+            PlaceCost(
+                thereS,
+                ImageCost(isPresent, imageGb, 1.0, concurrentFetches = concurrentFetches),
+                moveS = 2.0,
+                stop = stop,
+            )
         assertEquals(gainS, LocalityCost.gain(here, there, CostWeights(fetch = 1.0, lostWork = 1.5)), 1e-6)
     }
 
@@ -123,23 +129,35 @@
             LoadSpreadSettings(anyPriority = true, partitionStopShare = share, teamStopShare = 0.1, jobStopShare = 1.0)
         val machines = (1..25).map { machine(it, redTasks(it)) }
         val waiting = listOf(covered(20))
-        val plan = Planner(settings).plan(snapshot(waiting, machines, lostWorkLeft = budget, running = 100))
+        val plan = MovePlanner(settings).plan(snapshot(waiting, machines, lostWorkBudgetCoreS = budget, running = 100))
         assertEquals(stops, plan.moves.filterIsInstance<Move.Stop>().size)
     }
 
     private fun described(move: Move) = when (move) {
-        is Move.HandOver -> "${move.job} ${Math.round(move.cores)} to ${move.target}: ${move.reason}"
+        is Move.Reassignment -> "${move.job} ${Math.round(move.cores)} to ${move.target}: ${move.reason}"
         is Move.Stop -> "${move.job}/${move.task} on ${move.machine}: ${move.reason}"
     }
 
     companion object {
         private val settings =
             LoadSpreadSettings(anyPriority = true, jobStopShare = 1.0, teamStopShare = 1.0, partitionStopShare = 1.0)
-        private val planner = Planner(settings)
+        private val planner = MovePlanner(settings)
         private val small = smallJob("j-000001").copy(cores = 4.0, image = "i", imageGb = 2.0, spot = true)
 
-        private fun waits(spec: JobSpec = small, arrivedS: Double? = null, waitedS: Double = 5.0, tasks: Int = 80) =
-            WaitingJob(spec, tasks, tasks, false, waitedS, allWaits = true, arrivedS = arrivedS)
+        private fun waits(
+            spec: JobSpec = small,
+            secondsSinceArrival: Double? = null,
+            waitedS: Double = 5.0,
+            tasks: Int = 80,
+        ) = WaitingJob(
+            spec,
+            tasks,
+            tasks,
+            false,
+            waitedS,
+            isEntirelyPending = true,
+            secondsSinceArrival = secondsSinceArrival,
+        )
 
         fun covered(tasks: Int, waitedS: Double = 5.0, priority: Priority = Priority.NORMAL) = WaitingJob(
             small.copy(id = "j-000009", team = "blue", priority = priority),
@@ -157,14 +175,14 @@
             covered,
             elapsedS,
             remainingS,
-            isBusyOrKept = false,
-            coolsDown = false,
+            isExemptFromStop = false,
+            isCoolingDown = false,
         )
 
         fun redTasks(machine: Int) = List(4) { red(machine * 4 + it) }
 
         fun machine(id: Int, tasks: List<RunningTask>, draining: Boolean = false, slowness: Double = 1.0) =
-            MachineState(
+            MachineSnapshot(
                 "m-$id", "big", false, Resources(0.0, 64.0, 0.0), 1.0, { false }, tasks, draining, slowness,
             )
 
@@ -186,12 +204,12 @@
 
         fun snapshot(
             waiting: List<WaitingJob>,
-            machines: List<MachineState> = emptyList(),
+            machines: List<MachineSnapshot> = emptyList(),
             here: Double = 1.8,
             there: Double = 0.5,
             images: Set<String> = setOf("i"),
             open: OpenMoves = OpenMoves(),
-            lostWorkLeft: Double = 1_000.0,
+            lostWorkBudgetCoreS: Double = 1_000.0,
             running: Int = 100,
             targets: List<String> = listOf("a", "b"),
             redUses: Double = 400.0,
@@ -202,10 +220,10 @@
                 "a" to pressure("a", here, setOf("i"), runS, redUses),
                 "b" to pressure("b", there, images, runS, red = 0.0, isPublished),
             )
-            val terms = mapOf("red" to TeamTerms(100.0, 0.0, 100.0), "blue" to TeamTerms(100.0, 0.0, 100.0))
+            val terms = mapOf("red" to TeamEntitlement(100.0, 0.0, 100.0), "blue" to TeamEntitlement(100.0, 0.0, 100.0))
             return PlannerSnapshot(
                 "a", ClusterPressure(partitions, terms), waiting, machines, 1.0, running, mapOf("red" to running),
-                mapOf("j-000002" to running), open, { targets }, lostWorkLeft,
+                mapOf("j-000002" to running), open, { targets }, lostWorkBudgetCoreS,
             )
         }
 
@@ -213,7 +231,7 @@
         fun plans(): List<PlanCase> {
             val two = listOf(machine(1, redTasks(1)), machine(2, redTasks(2).map { it.copy(elapsedS = 2.0) }))
             val stopped = listOf("j-000002/8 on m-2: GUARANTEE")
-            fun on(vararg machines: MachineState) = machines.toList()
+            fun on(vararg machines: MachineSnapshot) = machines.toList()
             return listOf(
                 PlanCase(
                     "a queue here and room there",
@@ -247,7 +265,7 @@
                 ),
                 PlanCase(
                     "in one zone, partly placed",
-                    snapshot(listOf(waits(small.copy(sameZone = true)).copy(allWaits = false))),
+                    snapshot(listOf(waits(small.copy(sameZone = true)).copy(isEntirelyPending = false))),
                     emptyList(),
                     RefusalReason.PARTLY_PLACED,
                 ),
@@ -265,13 +283,13 @@
                 ),
                 PlanCase(
                     "just arrived",
-                    snapshot(listOf(waits(arrivedS = 10.0))),
+                    snapshot(listOf(waits(secondsSinceArrival = 10.0))),
                     emptyList(),
                     RefusalReason.JUST_ARRIVED,
                 ),
                 PlanCase(
                     "arrived a while ago",
-                    snapshot(listOf(waits(arrivedS = 40.0, tasks = 2))),
+                    snapshot(listOf(waits(secondsSinceArrival = 40.0, tasks = 2))),
                     listOf("j-000001 8 to b: SHORTER_WAIT"),
                     null,
                 ),
@@ -283,7 +301,7 @@
                 ),
                 PlanCase(
                     "a handover is under way",
-                    snapshot(listOf(waits()), open = OpenMoves(handOverUnderWay = true)),
+                    snapshot(listOf(waits()), open = OpenMoves(reassignmentInProgress = true)),
                     emptyList(),
                     null,
                 ),
@@ -314,19 +332,19 @@
                     "a guarantee, no patience yet",
                     snapshot(listOf(covered(1, waitedS = 1.0)), two, there = 1.8),
                     emptyList(),
-                    RefusalReason.PATIENCE,
+                    RefusalReason.WAIT_TOO_SHORT,
                 ),
                 PlanCase(
                     "a guarantee, room comes soon",
                     snapshot(listOf(covered(1)), two + machine(3, listOf(red(20, remainingS = 2.0))), there = 1.8),
                     emptyList(),
-                    RefusalReason.ROOM_COMES_SOON,
+                    RefusalReason.CAPACITY_EXPECTED_SOON,
                 ),
                 PlanCase(
                     "a guarantee, nobody is above theirs",
                     snapshot(listOf(covered(1)), two, there = 1.8, redUses = 100.0),
                     emptyList(),
-                    RefusalReason.NOTHING_TO_STOP,
+                    RefusalReason.NO_STOPPABLE_TASKS,
                 ),
                 PlanCase(
                     "a guarantee, all is within others'",
@@ -336,7 +354,7 @@
                         there = 1.8,
                     ),
                     emptyList(),
-                    RefusalReason.NOTHING_TO_STOP,
+                    RefusalReason.NO_STOPPABLE_TASKS,
                 ),
                 PlanCase(
                     "a guarantee, all ends soon",
@@ -346,17 +364,17 @@
                         there = 1.8,
                     ),
                     emptyList(),
-                    RefusalReason.NOTHING_TO_STOP,
+                    RefusalReason.NO_STOPPABLE_TASKS,
                 ),
                 PlanCase(
                     "a guarantee, stopped a while ago",
                     snapshot(
                         listOf(covered(1)),
-                        on(machine(1, listOf(red(1).copy(coolsDown = true)))),
+                        on(machine(1, listOf(red(1).copy(isCoolingDown = true)))),
                         there = 1.8,
                     ),
                     emptyList(),
-                    RefusalReason.NOTHING_TO_STOP,
+                    RefusalReason.NO_STOPPABLE_TASKS,
                 ),
                 PlanCase(
                     "a slow machine is emptied",
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPropertyTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPropertyTest.kt
@@ -12,7 +12,7 @@
 import kotlin.math.ceil
 import kotlin.random.Random
 
-/** Whatever the picture, plans keep to what may be moved. Jqwik draws the pictures and keeps seeds that fail. */
+/** Whatever the snapshot, plans move only what may be moved. Jqwik draws the snapshots and keeps seeds that fail. */
 class LoadSpreadPropertyTest {
     @Property(tries = 600)
     fun `plans repeat, and stop only what may be stopped and within every bound`(
@@ -21,19 +21,19 @@
         @ForAll @IntRange(min = 0, max = 12) jobs: Int,
     ) {
         val settings = LoadSpreadSettings()
-        val snapshot = picture(Random(seed), machines, jobs)
-        val plan = Planner(settings).plan(snapshot)
-        assertEquals(plan.moves, Planner(settings).plan(snapshot).moves, "the same picture, the same plan")
+        val snapshot = randomSnapshot(Random(seed), machines, jobs)
+        val plan = MovePlanner(settings).plan(snapshot)
+        assertEquals(plan.moves, MovePlanner(settings).plan(snapshot).moves, "the same snapshot, the same plan")
         val tasks = snapshot.machines.flatMap { it.tasks }.associateBy { it.attempt }
         val stops = plan.moves.filterIsInstance<Move.Stop>()
         assertEquals(stops.size, stops.map { it.attempt }.distinct().size, "each task once")
         for (stop in stops) {
             val task = tasks.getValue(stop.attempt)
-            assertTrue(!task.isBusyOrKept && !task.coolsDown && task.remainingS >= settings.leastRemainingS)
+            assertTrue(!task.isExemptFromStop && !task.isCoolingDown && task.remainingS >= settings.leastRemainingS)
             if (stop.beneficiary != null) checkGuaranteeStop(task, stop, snapshot)
         }
         checkBounds(stops, snapshot, settings)
-        plan.moves.filterIsInstance<Move.HandOver>().forEach { checkHandOver(it, snapshot) }
+        plan.moves.filterIsInstance<Move.Reassignment>().forEach { checkReassignment(it, snapshot) }
     }
 
     private fun checkGuaranteeStop(task: RunningTask, stop: Move.Stop, snapshot: PlannerSnapshot) {
@@ -46,18 +46,18 @@
         // Below the bound, all the tasks may go that are in the way of one other.
         val together = stops.groupBy { it.beneficiary to it.machine }.values.maxOfOrNull { it.size } ?: 0
         assertTrue(stops.size < most + maxOf(1, together), "${stops.size} stops of $most")
-        assertTrue(stops.sumOf { it.lostCoreS } <= snapshot.lostWorkLeft + 1e-6, "lost work")
+        assertTrue(stops.sumOf { it.lostCoreS } <= snapshot.lostWorkBudgetCoreS + 1e-6, "lost work")
         for ((team, ofTeam) in stops.filter { it.beneficiary != null }.groupBy { it.team }) {
             val excess = snapshot.cluster.excessCores(team, snapshot.zone)
             assertTrue(ofTeam.sumOf { it.cores } <= excess + 1e-6, "no more than the excess")
         }
     }
 
-    private fun checkHandOver(move: Move.HandOver, snapshot: PlannerSnapshot) {
+    private fun checkReassignment(move: Move.Reassignment, snapshot: PlannerSnapshot) {
         val job = snapshot.waiting.single { it.spec.id == move.job }
-        assertTrue(move.target != snapshot.zone && job.spec.zone == null && !snapshot.open.handOverUnderWay)
+        assertTrue(move.target != snapshot.zone && job.spec.zone == null && !snapshot.open.reassignmentInProgress)
         assertTrue(move.cores <= job.waitingCores + 1e-6, "no more than waits")
-        if (job.spec.sameZone) assertTrue(job.allWaits && move.cores == job.waitingCores, "as a whole")
+        if (job.spec.sameZone) assertTrue(job.isEntirelyPending && move.cores == job.waitingCores, "as a whole")
     }
 
     @Property(tries = 300)
@@ -70,16 +70,16 @@
         assertTrue(shares.values.sum() <= 1.0 + 1e-6)
         teams.forEach { assertTrue(shares.getValue(it.team) <= it.demand + 1e-6) }
         // Nothing is left over while somebody asks for more.
-        val isHungry = teams.any { it.demand > shares.getValue(it.team) + 1e-6 }
-        if (isHungry) assertEquals(1.0, shares.values.sum(), 1e-6)
+        val hasUnsatisfiedTeam = teams.any { it.demand > shares.getValue(it.team) + 1e-6 }
+        if (hasUnsatisfiedTeam) assertEquals(1.0, shares.values.sum(), 1e-6)
     }
 
-    private fun picture(random: Random, machineCount: Int, jobCount: Int): PlannerSnapshot {
+    private fun randomSnapshot(random: Random, machineCount: Int, jobCount: Int): PlannerSnapshot {
         val teams = listOf("red", "blue", "green")
         val machines = List(machineCount) { machine(random, it, teams) }
         val running = machines.flatMap { it.tasks }
         val partitions = listOf("a", "b", "c").associateWith { zone -> partition(random, zone, teams, running) }
-        val terms = teams.associateWith { TeamTerms(random.nextInt(100).toDouble(), 0.0, 1.0) }
+        val terms = teams.associateWith { TeamEntitlement(random.nextInt(100).toDouble(), 0.0, 1.0) }
         return PlannerSnapshot(
             zone = "a",
             cluster = ClusterPressure(partitions, terms),
@@ -89,9 +89,9 @@
             runningTasks = running.size,
             runningByTeam = running.groupingBy { it.team }.eachCount(),
             runningByJob = running.groupingBy { it.spec.id }.eachCount(),
-            open = OpenMoves(handOverUnderWay = random.nextInt(4) == 0),
+            open = OpenMoves(reassignmentInProgress = random.nextInt(4) == 0),
             targets = { partitions.keys.toList() },
-            lostWorkLeft = random.nextDouble() * 200,
+            lostWorkBudgetCoreS = random.nextDouble() * 200,
         )
     }
 
@@ -120,7 +120,7 @@
         )
     }
 
-    private fun machine(random: Random, number: Int, teams: List<String>) = MachineState(
+    private fun machine(random: Random, number: Int, teams: List<String>) = MachineSnapshot(
         id = "m-$number",
         type = "big",
         spot = random.nextBoolean(),
@@ -139,8 +139,8 @@
         covered = random.nextInt(4) == 0,
         elapsedS = random.nextDouble() * 20,
         remainingS = random.nextDouble() * 40,
-        isBusyOrKept = random.nextInt(5) == 0,
-        coolsDown = random.nextInt(5) == 0,
+        isExemptFromStop = random.nextInt(5) == 0,
+        isCoolingDown = random.nextInt(5) == 0,
     )
 
     private fun job(random: Random, number: Int, teams: List<String>): WaitingJob {
--- a/src/test/kotlin/io/otterknot/rebalance/MoveReportTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/MoveReportTest.kt
@@ -10,7 +10,7 @@
     @Test
     fun `events are added up by team, and lines of others or of newer versions are passed over`() {
         val handover = MoveEvent.Ended(
-            "a", "red", "j-000001", MoveKind.HANDOVER, MoveState.PLACED, MoveReason.SHORTER_WAIT, 4.0, 7, "b",
+            "a", "red", "j-000001", MoveKind.REASSIGNMENT, MoveState.PLACED, MoveReason.SHORTER_WAIT, 4.0, 7, "b",
         )
         val stop = MoveEvent.Ended(
             "a", "red", "j-000002", MoveKind.STOP, MoveState.ABANDONED, MoveReason.GUARANTEE, 9.0, 1,
@@ -19,9 +19,9 @@
         val summary = MoveEvent.Summary(
             "a",
             30.0,
-            mapOf("blue" to mapOf(RefusalReason.PATIENCE to 3)),
-            mapOf(PauseReason.OUTAGE to 2),
-            mapOf("blue" to mapOf(WaitCause.OTHER_TEAMS to 41.6)),
+            mapOf("blue" to mapOf(RefusalReason.WAIT_TOO_SHORT to 3)),
+            mapOf(PlanningPauseReason.STORE_UNAVAILABLE to 2),
+            mapOf("blue" to mapOf(WaitCause.TEAMS_ABOVE_FAIR_SHARE to 41.6)),
         )
         val unknown = "INFO MoveJournal - load-spread {\"type\":\"later\"}"
         val lines = listOf(
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -40,7 +40,7 @@
 import io.otterknot.rebalance.MoveReason
 import io.otterknot.rebalance.MoveReport
 import io.otterknot.rebalance.MoveState
-import io.otterknot.rebalance.PauseReason
+import io.otterknot.rebalance.PlanningPauseReason
 import io.otterknot.rebalance.RefusalReason
 import io.otterknot.rebalance.WaitCause
 import io.otterknot.scheduling.PartitionView
@@ -413,7 +413,7 @@
             """{"type":"move","zone":"a","team":"red","job":"j-1","kind":"handover","state":"placed",""" +
             """"reason":"overdue","gainS":4.0,"tasks":7}"""
         val event = MoveEvent.Ended(
-            "a", "red", "j-1", MoveKind.HANDOVER, MoveState.PLACED, MoveReason.OVERDUE, 4.0, 7,
+            "a", "red", "j-1", MoveKind.REASSIGNMENT, MoveState.PLACED, MoveReason.OVERDUE, 4.0, 7,
             null, null, 0.0, null, null, false,
         )
         assertEquals(true, MoveReport.isMarked(line))
@@ -1063,7 +1063,7 @@
                 Priority.BEST_EFFORT to "best_effort",
             ),
             named(TerminalState.serializer(), TerminalState.DONE to "d", TerminalState.CANCELLED to "a"),
-            named(MoveKind.serializer(), MoveKind.HANDOVER to "handover", MoveKind.STOP to "stop"),
+            named(MoveKind.serializer(), MoveKind.REASSIGNMENT to "handover", MoveKind.STOP to "stop"),
             named(
                 MoveState.serializer(),
                 MoveState.PROPOSED to "proposed",
@@ -1082,11 +1082,11 @@
             named(
                 MoveOutcome.serializer(),
                 MoveOutcome.COMPLETED_FIRST to "the task completed first",
-                MoveOutcome.JOB_OVER to "the job is over",
-                MoveOutcome.OWNERSHIP_LOST to "the partition has another owner",
+                MoveOutcome.JOB_FINISHED to "the job is over",
+                MoveOutcome.LEADERSHIP_LOST to "the partition has another owner",
                 MoveOutcome.MACHINE_LOST to "its machine was lost",
                 MoveOutcome.TASK_GONE to "the task is not where it was",
-                MoveOutcome.NOT_TRANSFERRED to "the handover was not carried out",
+                MoveOutcome.NOT_REASSIGNED to "the handover was not carried out",
                 MoveOutcome.NOT_PLACED to "not placed anew for long",
             ),
             named(
@@ -1096,26 +1096,27 @@
                 RefusalReason.GAIN_TOO_SMALL to "gain below the margin",
                 RefusalReason.JUST_ARRIVED to "came from elsewhere a moment ago",
                 RefusalReason.TOO_MANY_MOVES to "enough moves under way",
-                RefusalReason.PATIENCE to "has not waited long enough",
-                RefusalReason.ROOM_COMES_SOON to "room comes by itself",
-                RefusalReason.NOTHING_TO_STOP to "nothing that may be stopped makes room",
-                RefusalReason.LOST_WORK_BUDGET to "lost work beyond the budget",
-                RefusalReason.ENDS_SOON to "ends soon where it is",
+                RefusalReason.WAIT_TOO_SHORT to "has not waited long enough",
+                RefusalReason.CAPACITY_EXPECTED_SOON to "room comes by itself",
+                RefusalReason.NO_STOPPABLE_TASKS to "nothing that may be stopped makes room",
+                RefusalReason.LOST_WORK_BUDGET_EXHAUSTED to "lost work beyond the budget",
+                RefusalReason.COMPLETES_SOON to "ends soon where it is",
                 RefusalReason.COOLDOWN to "was stopped a while ago",
             ),
             named(
-                PauseReason.serializer(),
-                PauseReason.NOT_OWNER to "not its owner now",
-                PauseReason.IN_DOUBT to "in doubt after a claim",
-                PauseReason.OUTAGE to "the state service does not answer",
-                PauseReason.SLOW to "this controller is short of processor",
+                PlanningPauseReason.serializer(),
+                PlanningPauseReason.NOT_LEADER to "not its owner now",
+                PlanningPauseReason.IN_DOUBT to "in doubt after a claim",
+                PlanningPauseReason.STORE_UNAVAILABLE to "the state service does not answer",
+                PlanningPauseReason.CONTROLLER_OVERLOADED to "this controller is short of processor",
             ),
             named(
-                WaitCause.serializer(), WaitCause.DOUBT to "doubt", WaitCause.HANDOVER to "handover",
-                WaitCause.LIMIT to "limit", WaitCause.RETRY to "retry", WaitCause.HELD_ROOM to "held room",
-                WaitCause.ROOM_ELSEWHERE to "room elsewhere",
-                WaitCause.OTHER_TEAMS to "other teams above their share", WaitCause.NO_ROOM to "no room",
-                WaitCause.REPORT to "report", WaitCause.IMAGE to "image",
+                WaitCause.serializer(), WaitCause.IN_DOUBT to "doubt", WaitCause.REASSIGNMENT to "handover",
+                WaitCause.QUOTA_LIMIT to "limit", WaitCause.RETRY_BACKOFF to "retry",
+                WaitCause.CAPACITY_RESERVED to "held room",
+                WaitCause.CAPACITY_ELSEWHERE to "room elsewhere",
+                WaitCause.TEAMS_ABOVE_FAIR_SHARE to "other teams above their share", WaitCause.NO_CAPACITY to "no room",
+                WaitCause.AWAITING_HEARTBEAT to "report", WaitCause.IMAGE_FETCH to "image",
             ),
         ).flatten()
 
@@ -1139,7 +1140,7 @@
                 "handover",
                 MoveEvent.serializer(),
                 MoveEvent.Ended(
-                    zone = "a", team = "red", job = "j-000001", kind = MoveKind.HANDOVER, state = MoveState.PLACED,
+                    zone = "a", team = "red", job = "j-000001", kind = MoveKind.REASSIGNMENT, state = MoveState.PLACED,
                     reason = MoveReason.SHORTER_WAIT, gainS = 4.0, tasks = 7, target = "b", beneficiary = null,
                     lostCoreS = 0.0, outcome = null, tookMs = null, planned = true,
                 ),
@@ -1162,9 +1163,9 @@
                 MoveEvent.Summary(
                     zone = "a",
                     seconds = 30.0,
-                    refused = mapOf("blue" to mapOf(RefusalReason.PATIENCE to 3)),
-                    paused = mapOf(PauseReason.OUTAGE to 2),
-                    waits = mapOf("blue" to mapOf(WaitCause.OTHER_TEAMS to 41.6)),
+                    refused = mapOf("blue" to mapOf(RefusalReason.WAIT_TOO_SHORT to 3)),
+                    paused = mapOf(PlanningPauseReason.STORE_UNAVAILABLE to 2),
+                    waits = mapOf("blue" to mapOf(WaitCause.TEAMS_ABOVE_FAIR_SHARE to 41.6)),
                 ),
                 SUMMARY_TEXT,
             ),
@@ -1227,7 +1228,8 @@
             Exact("line in the log", "load-spread $HANDOVER_TEXT") {
                 MoveJournal.MARK + MoveJournal.encode(
                     MoveEvent.Ended(
-                        "a", "red", "j-000001", MoveKind.HANDOVER, MoveState.PLACED, MoveReason.SHORTER_WAIT, 4.0, 7,
+                        "a", "red", "j-000001", MoveKind.REASSIGNMENT, MoveState.PLACED, MoveReason.SHORTER_WAIT,
+                        4.0, 7,
                         "b", planned = true,
                     ),
                 )
@@ -1237,9 +1239,9 @@
                     MoveEvent.Summary(
                         "a",
                         30.0,
-                        mapOf("blue" to mapOf(RefusalReason.PATIENCE to 3)),
-                        mapOf(PauseReason.OUTAGE to 2),
-                        mapOf("blue" to mapOf(WaitCause.OTHER_TEAMS to 41.6)),
+                        mapOf("blue" to mapOf(RefusalReason.WAIT_TOO_SHORT to 3)),
+                        mapOf(PlanningPauseReason.STORE_UNAVAILABLE to 2),
+                        mapOf("blue" to mapOf(WaitCause.TEAMS_ABOVE_FAIR_SHARE to 41.6)),
                     ),
                 )
             },
