--- a/src/main/kotlin/io/otterknot/autoscaling/ScalingPolicy.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ScalingPolicy.kt
@@ -1,78 +1,66 @@
 package io.otterknot.autoscaling
 
 import io.otterknot.wire.MachineType
-
-/** A kind of machine that can be rented. */
-data class MachineKind(val type: String, val spot: Boolean)
-
-class ScaleOutDecision(val kind: MachineKind, val count: Int)
-
-/** What a partition has and needs, in cores. */
-class ScalingInputs(
-    /** Tasks that must not run on spot machines, waiting or active. */
-    val ordinaryDemand: Double,
-    val totalDemand: Double,
-    val ordinarySupply: Double,
-    val totalSupply: Double,
-) {
-    fun without(spot: Boolean, cores: Double) = ScalingInputs(
-        ordinaryDemand,
-        totalDemand,
-        if (spot) ordinarySupply else ordinarySupply - cores,
-        totalSupply - cores,
-    )
-}
+import kotlin.math.ceil
 
 /**
- * How much to rent and to keep: what the highest demand of the last while took, and a little more. Spot machines are
- * rented for whatever may use them, ordinary ones only for work that may use no other. What bounds it is the demand,
- * which team limits bound, and what the cloud refuses.
+ * How many machines to add and which can be spared: supply is to cover demand (see [DemandMeter]) and a headroom. Spot
+ * instances are added for whatever may use them, ordinary machines only for work that must not. The amount is bounded by
+ * demand, which the teams' quota limits bound, and by what the cloud has.
  */
 class ScalingPolicy {
-
-    fun rent(
-        view: ScalingInputs,
+    /** The machines to add in [zone]; kinds that [isExhausted] are not to be had at present. */
+    fun scaleOut(
+        inputs: ScalingInputs,
         types: List<MachineType>,
         zone: String,
-        closed: (MachineKind) -> Boolean,
+        isExhausted: (MachineKind) -> Boolean,
     ): List<ScaleOutDecision> {
-        val here = types.filter { zone in it.zones && it.cores > 0 }
-        val rents = ArrayList<ScaleOutDecision>()
-        fun take(kind: MachineKind, cores: Double, gap: Double): Double {
-            val count = Math.ceil(gap / cores).toInt()
-            if (count <= 0) return 0.0
-            rents.add(ScaleOutDecision(kind, count))
-            return count * cores
-        }
-        val ordinaryGap = view.ordinaryDemand * (1 + HEADROOM) - view.ordinarySupply
-        val ordinary = here.filterNot { closed(MachineKind(it.name, false)) }.minByOrNull { cost(it, it.price) }
-        val rented = if (ordinary == null) 0.0 else take(MachineKind(ordinary.name, false), ordinary.cores, ordinaryGap)
-        val gap = view.totalDemand * (1 + HEADROOM) - view.totalSupply - rented
-        val spot = here.filterNot { closed(MachineKind(it.name, true)) }.minByOrNull { cost(it, it.spotPrice) }
-        if (spot != null) {
-            take(MachineKind(spot.name, true), spot.cores, gap)
-        } else if (gap > 0 && ordinary != null && rents.isEmpty()) {
-            // No spot machine is to be had: an ordinary one costs more, but the work would wait.
-            take(MachineKind(ordinary.name, false), ordinary.cores, gap)
-        }
-        return rents
+        val offered = types.filter { zone in it.zones && it.cores > 0 }
+        val ordinary = offered.filterNot { isExhausted(MachineKind(it.name, spot = false)) }
+            .minByOrNull { costPerCore(it, it.price) }
+        val ordinaryGap = withHeadroom(inputs.ordinaryDemandCores) - inputs.ordinarySupplyCores
+        val forOrdinaryWork = ordinary?.let { covering(ordinaryGap, it, spot = false) }
+
+        val gap = withHeadroom(inputs.totalDemandCores) - inputs.totalSupplyCores - (forOrdinaryWork?.cores ?: 0.0)
+        val spot = offered.filterNot { isExhausted(MachineKind(it.name, spot = true)) }
+            .minByOrNull { costPerCore(it, it.spotPrice) }
+        if (spot != null) return listOfNotNull(forOrdinaryWork, covering(gap, spot, spot = true))
+        if (forOrdinaryWork != null) return listOf(forOrdinaryWork)
+        // No spot instance is to be had: an ordinary machine costs more, but the work would wait.
+        return listOfNotNull(ordinary?.let { covering(gap, it, spot = false) })
     }
 
-    /** Whether a partition can do without a machine of this many cores. */
-    fun spares(view: ScalingInputs, spot: Boolean, cores: Double): Boolean {
-        if (view.totalSupply - cores < view.totalDemand * (1 + HEADROOM)) return false
-        return spot || view.ordinarySupply - cores >= view.ordinaryDemand * (1 + HEADROOM)
+    /** Whether the partition can do without a machine of so many [cores]. */
+    fun canSpare(inputs: ScalingInputs, spot: Boolean, cores: Double): Boolean {
+        if (inputs.totalSupplyCores - cores < withHeadroom(inputs.totalDemandCores)) return false
+        return spot || inputs.ordinarySupplyCores - cores >= withHeadroom(inputs.ordinaryDemandCores)
     }
 
-    /** What a core costs for a short stay, boot and the fetch of an image included, in which it does nothing yet. */
-    private fun cost(type: MachineType, price: Double): Double {
-        val fetchS = if (type.fetchGbPerS > 0) IMAGE_GB / type.fetchGbPerS else 0.0
-        return price / type.cores * (STAY_S + type.bootS + fetchS) / STAY_S
+    /** As few machines of [type] as have [gapCores] cores; null: there is no gap. */
+    private fun covering(gapCores: Double, type: MachineType, spot: Boolean): ScaleOutDecision? {
+        val count = ceil(gapCores / type.cores).toInt()
+        if (count <= 0) return null
+        return ScaleOutDecision(MachineKind(type.name, spot), count, count * type.cores)
+    }
+
+    private fun withHeadroom(demandCores: Double): Double = demandCores * (1 + HEADROOM)
+
+    /**
+     * What a core costs while it works, for a short stay: its boot and the fetch of an image, in which it does nothing
+     * yet, are paid too.
+     */
+    private fun costPerCore(type: MachineType, price: Double): Double {
+        val fetchS = if (type.fetchGbPerS > 0) TYPICAL_IMAGE_GB / type.fetchGbPerS else 0.0
+        return price / type.cores * (SHORT_STAY_S + type.bootS + fetchS) / SHORT_STAY_S
     }
 
     private companion object {
+        /** Supply beyond demand, as a share of demand. */
         const val HEADROOM = 0.15
-        const val STAY_S = 60.0
-        const val IMAGE_GB = 2.0
+
+        /** How long a machine works at the least, once it is up. */
+        const val SHORT_STAY_S = 60.0
+        const val TYPICAL_IMAGE_GB = 2.0
     }
 }
--- a/src/main/kotlin/io/otterknot/cloud/CloudClient.kt
+++ b/src/main/kotlin/io/otterknot/cloud/CloudClient.kt
@@ -1,5 +1,6 @@
 package io.otterknot.cloud
 
+import io.otterknot.http.HttpStatus
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
 import io.otterknot.ratelimit.RateLimiter
@@ -13,81 +14,99 @@
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.SerializationException
 
-sealed interface ScaleOutResult {
-    class Rented(val machines: List<String>) : ScaleOutResult
-
-    /** Nothing was rented; there is none of this kind now. */
-    data object NoCapacity : ScaleOutResult
-
-    /** Nothing was rented, for a reason that says nothing about capacity. */
-    data object Refused : ScaleOutResult
-
-    /** Perhaps rented: only the same request again tells. */
-    data object Unknown : ScaleOutResult
-}
-
-/** The cloud's interface, within this node's share of its limit. */
-class CloudClient(private val http: Transport, private val budget: RateLimiter) {
-
-    suspend fun types(): List<MachineType>? {
-        budget.acquire()
-        return decode(MachineTypes.serializer(), http.call("GET", "/flavors", null, CALL_MS))?.types
+/**
+ * The cloud's HTTP interface (PROTOCOL). Each call waits until [rateLimiter], this controller's share of the cloud's
+ * limit, lets it pass.
+ */
+class CloudClient(private val http: Transport, private val rateLimiter: RateLimiter) {
+
+    /** The machine types that the cloud offers. */
+    suspend fun types(): CloudResult<List<MachineType>> {
+        rateLimiter.acquire()
+        return when (val result = decode(MachineTypes.serializer(), get("/flavors"))) {
+            is CloudResult.Success -> CloudResult.Success(result.value.types)
+            is CloudResult.Failure -> result
+        }
     }
 
-    suspend fun machines(): List<ListedMachine>? {
+    /** All machines of the cloud's list, which lags behind; read page by page. */
+    suspend fun machines(): CloudResult<List<ListedMachine>> {
         val all = ArrayList<ListedMachine>()
-        var after: String? = null
+        var afterId: String? = null
         while (true) {
-            budget.acquire()
-            val from = if (after == null) "" else "After=$after&"
-            val page =
-                decode(MachineList.serializer(), http.call("GET", "/machines?${from}Page=500", null, CALL_MS))
-                    ?: return null
+            rateLimiter.acquire()
+            val after = if (afterId == null) "" else "After=$afterId&"
+            val page = when (val result = decode(MachineList.serializer(), get("/machines?${after}Page=$PAGE_SIZE"))) {
+                is CloudResult.Success -> result.value
+                is CloudResult.Failure -> return result
+            }
             all.addAll(page.machines)
-            if (!page.more || page.machines.isEmpty()) return all
-            after = page.machines.last().id
+            if (!page.more || page.machines.isEmpty()) return CloudResult.Success(all)
+            afterId = page.machines.last().id
         }
     }
 
-    suspend fun rent(request: ScaleOutRequest): ScaleOutResult {
-        budget.acquire()
+    /** Asks for machines. The cloud carries a request of one name out once, however often it is sent. */
+    suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult {
+        rateLimiter.acquire()
         val body = WireJson.encodeToString(ScaleOutRequest.serializer(), request).encodeToByteArray()
-        return when (val reply = http.call("POST", "/machines", body, CALL_MS)) {
-            is Reply.None -> ScaleOutResult.Unknown
+        return when (val reply = http.call("POST", "/machines", body, TIMEOUT_MS)) {
+            is Reply.None -> ScaleOutResult.Unanswered(reply.why)
+            is Reply.Answer -> scaleOutResult(reply)
+        }
+    }
 
-            is Reply.Answer -> when {
-                reply.status == 200 -> decode(MachineNames.serializer(), reply)?.let {
-                    ScaleOutResult.Rented(it.machines)
-                }
-                    ?: ScaleOutResult.Unknown
+    private fun scaleOutResult(answer: Reply.Answer): ScaleOutResult = when (answer.status) {
+        HttpStatus.OK -> when (val granted = decode(MachineNames.serializer(), answer)) {
+            is CloudResult.Success -> ScaleOutResult.Granted(granted.value.machines)
+            is CloudResult.Failure -> ScaleOutResult.Unanswered(granted.error)
+        }
 
-                reply.status == 503 && "capacity" in reply.text -> ScaleOutResult.NoCapacity
+        HttpStatus.SERVICE_UNAVAILABLE -> when {
+            NO_CAPACITY in answer.text -> ScaleOutResult.NoCapacity
+            else -> ScaleOutResult.Refused(describe(answer))
+        }
 
-                reply.status == 400 || reply.status == 429 || reply.status == 503 -> ScaleOutResult.Refused
+        HttpStatus.BAD_REQUEST, HttpStatus.TOO_MANY_REQUESTS -> ScaleOutResult.Refused(describe(answer))
 
-                else -> ScaleOutResult.Unknown
-            }
-        }
+        else -> ScaleOutResult.Unanswered(describe(answer))
     }
 
-    /** True only once the machines and everything on them are gone. */
-    suspend fun release(machines: List<String>): Boolean {
-        budget.acquire()
+    /** Releases [machines]. Success means that they and everything on them are gone. */
+    suspend fun release(machines: List<String>): CloudResult<Unit> {
+        rateLimiter.acquire()
         val body = WireJson.encodeToString(MachineNames.serializer(), MachineNames(machines)).encodeToByteArray()
-        val reply = http.call("POST", "/machines/release", body, CALL_MS)
-        return reply is Reply.Answer && reply.status == 200
+        return when (val reply = http.call("POST", "/machines/release", body, TIMEOUT_MS)) {
+            is Reply.None -> CloudResult.Failure(reply.why)
+            is Reply.Answer -> if (reply.status == HttpStatus.OK) RELEASED else failure(reply)
+        }
     }
 
-    private fun <T> decode(serializer: KSerializer<T>, reply: Reply): T? {
-        if (reply !is Reply.Answer || reply.status != 200) return null
-        return try {
-            WireJson.decodeFromString(serializer, reply.text)
-        } catch (e: SerializationException) {
-            null
-        }
+    private suspend fun get(target: String): Reply = http.call("GET", target, null, TIMEOUT_MS)
+
+    private fun <T> decode(serializer: KSerializer<T>, reply: Reply): CloudResult<T> = when (reply) {
+        is Reply.None -> CloudResult.Failure(reply.why)
+        is Reply.Answer -> if (reply.status == HttpStatus.OK) parse(serializer, reply) else failure(reply)
     }
 
+    private fun <T> parse(serializer: KSerializer<T>, answer: Reply.Answer): CloudResult<T> = try {
+        CloudResult.Success(WireJson.decodeFromString(serializer, answer.text))
+    } catch (e: SerializationException) {
+        CloudResult.Failure("unreadable answer: ${e.message}")
+    }
+
+    private fun failure(answer: Reply.Answer) = CloudResult.Failure(describe(answer))
+
+    private fun describe(answer: Reply.Answer) = "status ${answer.status}: ${answer.text}"
+
     private companion object {
-        const val CALL_MS = 4_000L
+        const val TIMEOUT_MS = 4_000L
+
+        /** The most machines in one page of the list (PROTOCOL, GET /machines). */
+        const val PAGE_SIZE = 500
+
+        /** Tells a 503 for want of machines from one of a cloud in trouble. */
+        const val NO_CAPACITY = "capacity"
+        val RELEASED = CloudResult.Success(Unit)
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -2,8 +2,9 @@
 
 import io.otterknot.api.JobApi
 import io.otterknot.autoscaling.Autoscaler
+import io.otterknot.autoscaling.HeartbeatTimings
+import io.otterknot.autoscaling.LedPartitions
 import io.otterknot.autoscaling.MachineTypeCatalog
-import io.otterknot.autoscaling.ScalingPolicy
 import io.otterknot.cloud.CloudClient
 import io.otterknot.config.OperatorSettings
 import io.otterknot.config.Settings
@@ -105,12 +106,9 @@
     private val autoscaler = Autoscaler(
         cloud,
         catalog,
-        leadership,
-        partitions,
-        ScalingPolicy(),
+        LedPartitions(leadership, partitions),
         objectives,
-        site.workers.heartbeatPeriodMs,
-        site.workers.leaseMs,
+        HeartbeatTimings(site.workers.heartbeatPeriodMs, site.workers.leaseMs),
         nowMs,
         random,
     )
@@ -193,8 +191,8 @@
         tasks.start("store-lease") { leadership.keepStoreLease() }
         tasks.start("leadership-acquisition") { leadership.acquirePartitions() }
         tasks.start("machine-types") { machineTypeRecorder.run() }
-        tasks.start("autoscaler") { autoscaler.manage() }
-        tasks.start("cloud-inventory") { autoscaler.inspect() }
+        tasks.start("autoscaler") { autoscaler.scaleContinuously() }
+        tasks.start("cloud-inventory") { autoscaler.inspectContinuously() }
         tasks.start("state-writer") { stateWriter.run() }
         tasks.start("task-reassigner") { reassigner.balance() }
         tasks.start("load-spread") { loadSpread.run() }
--- a/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
+++ b/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
@@ -20,7 +20,7 @@
         // Recorded types will do for the first seconds of a start, when there is most to do.
         withTimeoutOrNull(LOAD_TIMEOUT_MS) { store.replica.awaitLoaded() }
         if (catalog.types != null) delay(FIRST_REFRESH_DELAY_MS)
-        catalog.learn(::record)
+        catalog.refreshContinuously(::record)
     }
 
     private suspend fun record(offered: List<MachineType>) {
--- a/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
+++ b/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
@@ -66,7 +66,7 @@
         leadership.takeoverMarkers.changed(zone, present = entry != null)
 
     private fun updateMachineTypes(entry: ReplicaEntry?) {
-        if (entry != null) catalog.remembered(decodeRecord(MachineTypes.serializer(), entry.value).types)
+        if (entry != null) catalog.restore(decodeRecord(MachineTypes.serializer(), entry.value).types)
     }
 
     private fun updateLoad(zone: String, entry: ReplicaEntry?) {
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -304,7 +304,7 @@
     @Test
     fun `requests to the cloud are these`() = runTest {
         cloud(200, """{"Breeds":[]}""").types()
-        cloud(200, """{"Holts":["m-000231"]}""").rent(ScaleOutRequest("r-17", "g8", "a", true, 12))
+        cloud(200, """{"Holts":["m-000231"]}""").scaleOut(ScaleOutRequest("r-17", "g8", "a", true, 12))
         cloud(200, "{}").release(listOf("m-000231", "m-000232"))
         cloud(200, """{"Holts":[]}""").machines()
         val expected = listOf(
