--- a/src/main/kotlin/io/otterknot/controller/JobFinalizer.kt
+++ b/src/main/kotlin/io/otterknot/controller/JobFinalizer.kt
@@ -40,7 +40,8 @@
     /** A job that has further keys to remove is in a batch of its own. */
     private fun batches(due: List<Job>): List<List<Job>> {
         val (large, small) = due.partition { (it.record?.dependencySegments ?: 0) > 0 }
-        val size = minOf(store.client.rateLimiter.maxBackgroundChanges, store.limits.maxTransactionChanges, MAX_BATCH_JOBS)
+        val size =
+            minOf(store.client.rateLimiter.maxBackgroundChanges, store.limits.maxTransactionChanges, MAX_BATCH_JOBS)
         return small.chunked(size) + large.map(::listOf)
     }
 
--- a/src/main/kotlin/io/otterknot/store/ReplicaContents.kt
+++ b/src/main/kotlin/io/otterknot/store/ReplicaContents.kt
@@ -13,7 +13,7 @@
 
 /** The entries of a [StoreReplica] and the revision that they are at. No key ever goes back to an earlier version. */
 internal class ReplicaContents {
-    private val log = LoggerFactory.getLogger(StoreReplica::class.java)
+    private val log = LoggerFactory.getLogger(ReplicaContents::class.java)
     private val entries = TreeMap<String, ReplicaEntry>()
     private val revisionFlow = MutableStateFlow(NOT_LOADED)
 
--- a/src/main/kotlin/io/otterknot/store/ReplicaWatcher.kt
+++ b/src/main/kotlin/io/otterknot/store/ReplicaWatcher.kt
@@ -18,7 +18,7 @@
     private val random: Random,
     private val pauseMs: Long,
 ) {
-    private val log = LoggerFactory.getLogger(StoreReplica::class.java)
+    private val log = LoggerFactory.getLogger(ReplicaWatcher::class.java)
 
     /** Somebody waits for a revision that the replica has not reached. */
     private val fetchRequests = Channel<Unit>(Channel.CONFLATED)
--- a/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
@@ -12,6 +12,7 @@
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
 import io.otterknot.wire.WireJson
+import kotlinx.serialization.KSerializer
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.jsonObject
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -57,7 +58,7 @@
             """{"z":{"a":{"c":4.0,"g":0.0},"b":{"c":8.0,"g":0.0}}}""" to QuotaSharesRecord.serializer(),
         )) {
             @Suppress("UNCHECKED_CAST")
-            val any = serializer as kotlinx.serialization.KSerializer<Any>
+            val any = serializer as KSerializer<Any>
             assertEquals(json(text), encodeRecord(any, decodeRecord(any, json(text))))
         }
         assertEquals(
@@ -79,9 +80,7 @@
         val waiting = JobRecord(
             JobSpec(
                 "j-1", "k", "red", Priority.HIGH, 2, 1.0, memoryGb = 1.0, image = "i", imageGb = 1.0, estimateS = 1.0,
-                dependencies = listOf(
-                    "j-2",
-                ),
+                dependencies = listOf("j-2"),
             ),
             listOf(TaskSpan("a", 0, 2)),
             dependencySegments = 2,
@@ -117,24 +116,13 @@
         val value = encodeRecord(CompletionSegmentRecord.serializer(), record)
         assertEquals(
             setOf("j-1", "j-2"),
-            table.applyCompletionSegment(StoreKeys.completionSegment("a", "7-0"), ReplicaEntry(value, 1)).map {
-                it.id
-            }.toSet(),
+            table.applyCompletionSegment(StoreKeys.completionSegment("a", "7-0"), ReplicaEntry(value, 1))
+                .map { it.id }.toSet(),
         )
-        for (id in listOf(
-            "j-1",
-            "j-2",
-        )) {
-            table.applyJobChange(
-                StoreKeys.job(id),
-                ReplicaEntry(
-                    encodeRecord(
-                        JobRecord.serializer(),
-                        JobRecord(decodeRecord(JobRecord.serializer(), productionJob).spec),
-                    ),
-                    2,
-                ),
-            )
+        val specOnly = JobRecord(decodeRecord(JobRecord.serializer(), productionJob).spec)
+        for (id in listOf("j-1", "j-2")) {
+            val entry = ReplicaEntry(encodeRecord(JobRecord.serializer(), specOnly), 2)
+            table.applyJobChange(StoreKeys.job(id), entry)
         }
         assertEquals(tasks, table["j-1"]!!.completedTasks)
         assertEquals(
--- a/src/test/kotlin/io/otterknot/store/StoreConnectionTest.kt
+++ b/src/test/kotlin/io/otterknot/store/StoreConnectionTest.kt
@@ -59,19 +59,19 @@
         sentDirectly: Int,
         carriedOn: Int,
     ) = runTest {
-        val contact = StoreHealth { clockMs }
+        val health = StoreHealth { clockMs }
         repeat(failures) {
-            contact.recordReply(reply("503"))
+            health.recordReply(reply("503"))
             clockMs += 500
         }
         var sent = 0
         var asked = 0
-        val straight = Transport { _, _, _, _ ->
+        val directTransport = Transport { _, _, _, _ ->
             sent++
             reply(direct)
         }
         val relays = RelayPool(listOf(PeerRelay(peer(carried) { asked++ })), Random(1)) { clockMs }
-        val outcome = StoreConnection(straight, contact, relays).call("POST", "/txn", ByteArray(0), 1_000)
+        val outcome = StoreConnection(directTransport, health, relays).call("POST", "/txn", ByteArray(0), 1_000)
         assertEquals(listOf(expected, sentDirectly, carriedOn), listOf(text(outcome), sent, asked))
     }
 }
--- a/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
+++ b/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
@@ -63,12 +63,8 @@
         val writes = listOf(large, dependent, chained) + small
         while (testScheduler.currentTime < 4_000 && writer.write(VersionCondition("o/p/a", 0), writes) {}) Unit
         assertTrue(small.all { bench.state.value(it.key) != null }, "the others are written")
-        assertTrue(
-            writes.take(3).all {
-                bench.state.value(it.key) == null
-            },
-            "nothing is given up that nobody has taken",
-        )
+        val heldUpKeys = writes.take(3).map { it.key }
+        assertTrue(heldUpKeys.all { bench.state.value(it) == null }, "nothing is given up that nobody has taken")
         val smaller = PendingWrite(large.key, value(1_000))
         while (writer.write(VersionCondition("o/p/a", 0), listOf(smaller, dependent, chained)) {}) Unit
         assertTrue(writes.all { bench.state.value(it.key) != null }, "once it is smaller, all are written at once")
