--- a/src/main/kotlin/io/otterknot/rebalance/Pressure.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/ClusterPressure.kt
@@ -3,51 +3,19 @@
 import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 
-/** What one team uses of a partition, and what waits of it there. */
-data class TeamPressure(
-    val used: Resources = Resources.NONE,
-    val waitingCores: Double = 0.0,
-    /** Since when its oldest waiting task could run, by the time of day; null: nothing waits. */
-    val oldestReadyMs: Long? = null,
-)
-
-/** What presses on one partition: its own owner's view, or what that owner has published. */
-data class PartitionPressure(
-    val zone: String,
-    /** What machines that take work have there. */
-    val capacity: Resources,
-    val ordinaryCores: Double,
-    /** The mean of the loads, what waits included; and that of ordinary machines alone. */
-    val mean: Double,
-    val ordinaryMean: Double,
-    /** How long tasks run there; null: not known. */
-    val meanRunS: Double?,
-    val fetchFactor: Double = 1.0,
-    /** Images that many machines there have. */
-    val images: Set<String> = emptySet(),
-    /** By team; null: the owner is of a version that publishes the mean alone. */
-    val teams: Map<String, TeamPressure>? = null,
-) {
-    fun meanFor(spec: JobSpec): Double = if (spec.spot) mean else maxOf(ordinaryMean, 0.0)
-
-    fun coresFor(spec: JobSpec): Double = maxOf(if (spec.spot) capacity.cores else ordinaryCores, 1.0)
-
-    /** The image of a job on a machine here that fetches at [fetchGbPerS] nominally. */
-    fun imageCost(spec: JobSpec, fetchGbPerS: Double) =
-        ImageCost(spec.image in images, spec.imageGb, fetchGbPerS, measuredFactor = fetchFactor)
-}
-
 /** All partitions and teams together, as one controller sees them at one moment. */
 class ClusterPressure(val partitions: Map<String, PartitionPressure>, private val teams: Map<String, TeamEntitlement>) {
     private val runS = partitions.values.mapNotNull { it.meanRunS }.ifEmpty { null }?.average() ?: DEFAULT_RUN_TIME_S
 
     /** Cores alone where some owner does not publish what else its machines have. */
-    private val capacity: Resources = partitions.values.fold(Resources.NONE) { sum, it ->
-        sum + it.capacity
-    }.let { sum ->
-        if (partitions.values.all { it.teams != null }) sum else Resources(cores = sum.cores)
+    private val capacity: Resources = totalCapacity().let { total ->
+        val isPublishedByAll = partitions.values.all { it.teams != null }
+        if (isPublishedByAll) total else Resources(cores = total.cores)
     }
 
+    private fun totalCapacity(): Resources =
+        partitions.values.fold(Resources.NONE) { sum, partition -> sum + partition.capacity }
+
     private val used: Map<String, Resources> = teams.keys.associateWith { team ->
         partitions.values.fold(Resources.NONE) { sum, partition ->
             sum + (partition.teams?.get(team)?.used ?: Resources.NONE)
@@ -113,6 +81,3 @@
         const val DEFAULT_RUN_TIME_S = 15.0
     }
 }
-
-/** What the settings promise a team. */
-data class TeamEntitlement(val guaranteedCores: Double, val guaranteedCards: Double, val weight: Double)
--- a/src/main/kotlin/io/otterknot/rebalance/FairShares.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/FairShares.kt
@@ -1,11 +1,5 @@
 package io.otterknot.rebalance
 
-/**
- * What one team asks of a cluster, as shares of it: [demand] is the dominant share of all that it runs and waits for,
- * [guaranteed] what it is promised, [weight] how it counts against others beyond that.
- */
-data class TeamDemand(val team: String, val demand: Double, val guaranteed: Double, val weight: Double)
-
 /**
  * The share of a cluster that each team is due: weighted max-min fairness of dominant shares above the guarantees. No
  * team is due more than it asks for, each gets its guarantee first, and what is left goes to all that ask for more in
--- a/src/main/kotlin/io/otterknot/rebalance/GuaranteePlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/GuaranteePlanner.kt
@@ -85,9 +85,8 @@
             var room = free
             val chosen = ArrayList<RunningTask>()
             val excess = HashMap<String, Double>()
-            for (task in machine.tasks.sortedWith(LEAST_URGENT_FIRST)) {
+            for (task in machine.tasks.sortedWith(LEAST_URGENT_FIRST).filter { isStoppable(it, job) }) {
                 if (room.covers(needed)) break
-                if (!isStoppable(task, job)) continue
                 val left = excess.getOrPut(task.team) { limits.remainingExcessCores(task.team) }
                 if (left < task.spec.cores) continue
                 excess[task.team] = left - task.spec.cores
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
@@ -2,12 +2,9 @@
 
 import io.otterknot.config.LoadSpreadMode
 import io.otterknot.config.LoadSpreadSettings
-import io.otterknot.config.TeamSettings
-import io.otterknot.jobs.Job
 import io.otterknot.partition.Partition
 import io.otterknot.reassignment.TaskReassignment
 import io.otterknot.records.PressureRecord
-import io.otterknot.scheduling.PartitionView
 import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.coroutineScope
@@ -15,28 +12,6 @@
 import kotlinx.coroutines.launch
 import kotlin.random.Random
 
-/** What load spread reads from the controller that it runs in. */
-interface LoadSpreadHost {
-    val partitions: Map<String, Partition>
-    val views: Map<String, PartitionView>
-    val teams: List<TeamSettings>
-
-    /** All unfinished jobs of all partitions. */
-    val liveJobs: Collection<Job>
-
-    /** Whether this controller may act as the leader of [partition] now. */
-    fun mayActFor(partition: Partition): Boolean
-
-    /** Whether the state service answers this controller. */
-    val isStoreAvailable: Boolean
-
-    /** Whether the partition of [zone] has a leader. */
-    fun hasLeader(zone: String): Boolean
-
-    /** Whether the cloud offers a machine type in [zone] that [spec] allows. */
-    fun offers(zone: String, spec: JobSpec): Boolean
-}
-
 /**
  * Keeps busy teams from crowding others out: plans which waiting tasks are reassigned to another partition, and which
  * running tasks are stopped to be placed anew. The partition's scheduler places them as any other task. The settings
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpreadHost.kt
@@ -0,0 +1,29 @@
+package io.otterknot.rebalance
+
+import io.otterknot.config.TeamSettings
+import io.otterknot.jobs.Job
+import io.otterknot.partition.Partition
+import io.otterknot.scheduling.PartitionView
+import io.otterknot.wire.JobSpec
+
+/** What load spread reads from the controller that it runs in. */
+interface LoadSpreadHost {
+    val partitions: Map<String, Partition>
+    val views: Map<String, PartitionView>
+    val teams: List<TeamSettings>
+
+    /** All unfinished jobs of all partitions. */
+    val liveJobs: Collection<Job>
+
+    /** Whether this controller may act as the leader of [partition] now. */
+    fun mayActFor(partition: Partition): Boolean
+
+    /** Whether the state service answers this controller. */
+    val isStoreAvailable: Boolean
+
+    /** Whether the partition of [zone] has a leader. */
+    fun hasLeader(zone: String): Boolean
+
+    /** Whether the cloud offers a machine type in [zone] that [spec] allows. */
+    fun offers(zone: String, spec: JobSpec): Boolean
+}
--- a/src/main/kotlin/io/otterknot/rebalance/MoveExecutor.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveExecutor.kt
@@ -38,7 +38,8 @@
     /** Begins to stop a task; a task that is no longer where the plan saw it makes the move [MoveState.ABANDONED]. */
     fun stop(move: Move.Stop, now: Long) {
         val attempt = partition.machine(move.machine)?.attempts?.get(move.attempt)
-        if (attempt == null || attempt.stopping || !attempt.occupiesMachine || !leadsPartition()) {
+        val isRunningThere = attempt != null && !attempt.stopping && attempt.occupiesMachine
+        if (!isRunningThere || !leadsPartition()) {
             journal.ended(move, MoveState.ABANDONED, MoveOutcome.TASK_GONE)
             return
         }
--- a/src/main/kotlin/io/otterknot/rebalance/MoveReport.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveReport.kt
@@ -2,42 +2,9 @@
 
 import io.otterknot.wire.WireJson
 import kotlinx.serialization.KSerializer
-import kotlinx.serialization.Serializable
 import kotlinx.serialization.SerializationException
 import java.util.TreeMap
 
-/** How many moves of one kind, reason and outcome ended. */
-@Serializable
-data class MoveCount(
-    val kind: MoveKind,
-    val reason: MoveReason,
-    val state: MoveState,
-    val outcome: MoveOutcome?,
-    val planned: Boolean,
-    val moves: Int,
-    val tasks: Int,
-    val lostCoreS: Double,
-)
-
-/** The moves, refusals and waits of one team. */
-@Serializable
-data class TeamReport(
-    val team: String,
-    val moves: List<MoveCount>,
-    val refused: Map<RefusalReason, Int>,
-    /** Task-seconds of waiting by cause. */
-    val waits: Map<WaitCause, Double>,
-)
-
-/** The load-spread events of controllers' logs, counted by team. */
-@Serializable
-data class MoveLogReport(
-    val events: Int,
-    val unreadable: Int,
-    val teams: List<TeamReport>,
-    val paused: Map<PlanningPauseReason, Int>,
-)
-
 /** Reads the lines that [MoveJournal] wrote to controllers' logs and counts them by team, for `otterknot moves`. */
 object MoveReport {
     private const val MARKED_JSON_START = MoveJournal.MARK + "{"
--- a/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
@@ -3,59 +3,6 @@
 import io.otterknot.partition.Partition
 import io.otterknot.scheduling.Attempt
 import io.otterknot.scheduling.PartitionJob
-import kotlinx.serialization.SerialName
-import kotlinx.serialization.Serializable
-
-/** How far a move has come. */
-@Serializable
-enum class MoveState {
-    @SerialName("proposed")
-    PROPOSED,
-
-    /** The task was commanded to stop, or will be with the next heartbeat response to its machine. */
-    @SerialName("stopping")
-    STOPPING,
-
-    /** It has left its machine and waits. */
-    @SerialName("stopped")
-    STOPPED,
-
-    /** It is on a machine again, or belongs to another partition. */
-    @SerialName("placed")
-    PLACED,
-
-    /** The move failed; the task is an ordinary one again, or finished. */
-    @SerialName("abandoned")
-    ABANDONED,
-    ;
-
-    val isFinal: Boolean get() = this == PLACED || this == ABANDONED
-}
-
-/** Why a move did not end as planned. */
-@Serializable
-enum class MoveOutcome {
-    @SerialName("the task completed first")
-    COMPLETED_FIRST,
-
-    @SerialName("the job is over")
-    JOB_FINISHED,
-
-    @SerialName("the partition has another owner")
-    LEADERSHIP_LOST,
-
-    @SerialName("its machine was lost")
-    MACHINE_LOST,
-
-    @SerialName("the task is not where it was")
-    TASK_GONE,
-
-    @SerialName("the handover was not carried out")
-    NOT_REASSIGNED,
-
-    @SerialName("not placed anew for long")
-    NOT_PLACED,
-}
 
 /**
  * A running task on its way from one machine to another, as one leader tracks it. All state that matters is in the
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/rebalance/PlanningPauseReason.kt
@@ -0,0 +1,20 @@
+package io.otterknot.rebalance
+
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+
+/** Why no plan is made for a partition. */
+@Serializable
+enum class PlanningPauseReason {
+    @SerialName("not its owner now")
+    NOT_LEADER,
+
+    @SerialName("in doubt after a claim")
+    IN_DOUBT,
+
+    @SerialName("the state service does not answer")
+    STORE_UNAVAILABLE,
+
+    @SerialName("this controller is short of processor")
+    CONTROLLER_OVERLOADED,
+}
--- a/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
@@ -45,9 +45,7 @@
             waiting = waiting,
             machines = machines,
             sampledShare = minOf(1.0, settings.sampledMachines.toDouble() / maxOf(1, partition.machines.size)),
-            runningTasks = running.sumOf { it.active.size },
-            runningByTeam = running.groupBy { it.spec.team }.mapValues { (_, jobs) -> jobs.sumOf { it.active.size } },
-            runningByJob = running.associate { it.id to it.active.size },
+            running = countTasks(running),
             open = open,
             targets = targets,
             lostWorkBudgetCoreS = lostWorkBudgetCoreS,
@@ -132,6 +130,12 @@
         return isEnding || attempt.protectedFromPreemption
     }
 
+    private fun countTasks(running: List<PartitionJob>) = RunningTaskCounts(
+        total = running.sumOf { it.active.size },
+        byTeam = running.groupBy { it.spec.team }.mapValues { (_, jobs) -> jobs.sumOf { it.active.size } },
+        byJob = running.associate { it.id to it.active.size },
+    )
+
     private fun running(partition: Partition): List<PartitionJob> {
         examinedItems += partition.jobs.size
         return partition.jobs.filter { it.active.isNotEmpty() }
--- a/src/main/kotlin/io/otterknot/rebalance/StopLimits.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/StopLimits.kt
@@ -17,7 +17,7 @@
 
     /** Why [tasks] may not be stopped together; null if they may. */
     fun refusalReason(tasks: List<RunningTask>): RefusalReason? {
-        val isFull = stops >= maxStops(snapshot.runningTasks, settings.partitionStopShare) ||
+        val isFull = stops >= maxStops(snapshot.running.total, settings.partitionStopShare) ||
             tasks.any { (byTeam[it.team] ?: 0) >= maxStopsOfTeam(it.team) } ||
             tasks.any { (byJob[it.spec.id] ?: 0) >= maxStopsOfJob(it.spec.id) }
         return when {
@@ -27,9 +27,9 @@
         }
     }
 
-    private fun maxStopsOfTeam(team: String) = maxStops(snapshot.runningByTeam[team] ?: 0, settings.teamStopShare)
+    private fun maxStopsOfTeam(team: String) = maxStops(snapshot.running.byTeam[team] ?: 0, settings.teamStopShare)
 
-    private fun maxStopsOfJob(job: String) = maxStops(snapshot.runningByJob[job] ?: 0, settings.jobStopShare)
+    private fun maxStopsOfJob(job: String) = maxStops(snapshot.running.byJob[job] ?: 0, settings.jobStopShare)
 
     private fun maxStops(running: Int, share: Double): Int = maxOf(1, ceil(running * share).toInt())
 
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
@@ -26,6 +26,7 @@
         "2.0, 0.9, 1.0,  2.0, 0.9, 1.0,  0.5, 0.5",
         "0.0, 0.5, 1.0,  0.0, 0.5, 1.0,  0.0, 0.0",
     )
+    @Suppress("LongParameterList") // one parameter for each column of the table
     fun `guarantees come first, and the rest goes by weight to those that ask for it`(
         demand: Double,
         guaranteed: Double,
@@ -80,6 +81,7 @@
         "20, 5, true,  6, 1, 10, 5, 2,    10.0",
         "5, 5, true,   0, 1, -1, 0, 0,    -2.0",
     )
+    @Suppress("LongParameterList") // one parameter for each column of the table
     fun `images, queues and lost work are weighed in seconds`(
         hereS: Double,
         thereS: Double,
@@ -103,8 +105,7 @@
         assertEquals(gainS, LocalityCost.gain(here, there, CostWeights(fetch = 1.0, lostWork = 1.5)), 1e-6)
     }
 
-    // ---- plans: a crowded partition a, and b
-
+    /** One plan of a crowded partition a, beside b: the expected moves, and why the first job is refused, if so. */
     class PlanCase(
         val name: String,
         val snapshot: PlannerSnapshot,
@@ -222,173 +223,186 @@
             )
             val terms = mapOf("red" to TeamEntitlement(100.0, 0.0, 100.0), "blue" to TeamEntitlement(100.0, 0.0, 100.0))
             return PlannerSnapshot(
-                "a", ClusterPressure(partitions, terms), waiting, machines, 1.0, running, mapOf("red" to running),
-                mapOf("j-000002" to running), open, { targets }, lostWorkBudgetCoreS,
+                zone = "a",
+                cluster = ClusterPressure(partitions, terms),
+                waiting = waiting,
+                machines = machines,
+                sampledShare = 1.0,
+                running = RunningTaskCounts(running, mapOf("red" to running), mapOf("j-000002" to running)),
+                open = open,
+                targets = { targets },
+                lostWorkBudgetCoreS = lostWorkBudgetCoreS,
             )
         }
 
-        @JvmStatic
-        fun plans(): List<PlanCase> {
-            val two = listOf(machine(1, redTasks(1)), machine(2, redTasks(2).map { it.copy(elapsedS = 2.0) }))
-            val stopped = listOf("j-000002/8 on m-2: GUARANTEE")
-            fun on(vararg machines: MachineSnapshot) = machines.toList()
-            return listOf(
-                PlanCase(
-                    "a queue here and room there",
-                    snapshot(listOf(waits())),
-                    listOf("j-000001 233 to b: SHORTER_WAIT"),
-                    null,
-                ),
-                PlanCase(
-                    "the image is not there",
-                    snapshot(listOf(waits()), images = emptySet()),
-                    listOf("j-000001 207 to b: SHORTER_WAIT"),
-                    null,
-                ),
-                PlanCase(
-                    "means that differ little",
-                    snapshot(listOf(waits()), here = 0.9, there = 0.7),
-                    emptyList(),
-                    RefusalReason.GAIN_TOO_SMALL,
-                ),
-                PlanCase(
-                    "the same after a long wait",
-                    snapshot(listOf(waits(waitedS = 50.0)), here = 0.9, there = 0.7),
-                    listOf("j-000001 13 to b: OVERDUE"),
-                    null,
-                ),
-                PlanCase(
-                    "bound to its zone",
-                    snapshot(listOf(waits(small.copy(zone = "a")))),
-                    emptyList(),
-                    RefusalReason.BOUND_TO_ZONE,
-                ),
-                PlanCase(
-                    "in one zone, partly placed",
-                    snapshot(listOf(waits(small.copy(sameZone = true)).copy(isEntirelyPending = false))),
-                    emptyList(),
-                    RefusalReason.PARTLY_PLACED,
-                ),
-                PlanCase(
-                    "in one zone, as a whole",
-                    snapshot(listOf(waits(small.copy(sameZone = true)))),
-                    listOf("j-000001 320 to b: SHORTER_WAIT"),
-                    null,
-                ),
-                PlanCase(
-                    "in one zone, far too much",
-                    snapshot(listOf(waits(small.copy(sameZone = true), tasks = 300))),
-                    emptyList(),
-                    RefusalReason.GAIN_TOO_SMALL,
-                ),
-                PlanCase(
-                    "just arrived",
-                    snapshot(listOf(waits(secondsSinceArrival = 10.0))),
-                    emptyList(),
-                    RefusalReason.JUST_ARRIVED,
-                ),
-                PlanCase(
-                    "arrived a while ago",
-                    snapshot(listOf(waits(secondsSinceArrival = 40.0, tasks = 2))),
-                    listOf("j-000001 8 to b: SHORTER_WAIT"),
-                    null,
-                ),
-                PlanCase(
-                    "no owner elsewhere",
-                    snapshot(listOf(waits()), targets = listOf("a")),
-                    emptyList(),
-                    RefusalReason.NO_TARGET,
-                ),
-                PlanCase(
-                    "a handover is under way",
-                    snapshot(listOf(waits()), open = OpenMoves(reassignmentInProgress = true)),
-                    emptyList(),
-                    null,
-                ),
-                PlanCase(
-                    "an owner that publishes no pressure",
-                    snapshot(listOf(waits()), isPublished = false),
-                    listOf("j-000001 233 to b: SHORTER_WAIT"),
-                    null,
-                ),
-                PlanCase(
-                    "a guarantee, least work lost",
-                    snapshot(listOf(covered(1)), two, there = 1.8),
-                    stopped,
-                    null,
-                ),
-                PlanCase(
-                    "a guarantee, a stop is under way",
-                    snapshot(
-                        listOf(covered(1)),
-                        two,
-                        there = 1.8,
-                        open = OpenMoves(stopsForJob = mapOf("j-000009" to 1)),
-                    ),
-                    emptyList(),
-                    null,
-                ),
-                PlanCase(
-                    "a guarantee, no patience yet",
-                    snapshot(listOf(covered(1, waitedS = 1.0)), two, there = 1.8),
-                    emptyList(),
-                    RefusalReason.WAIT_TOO_SHORT,
-                ),
-                PlanCase(
-                    "a guarantee, room comes soon",
-                    snapshot(listOf(covered(1)), two + machine(3, listOf(red(20, remainingS = 2.0))), there = 1.8),
-                    emptyList(),
-                    RefusalReason.CAPACITY_EXPECTED_SOON,
-                ),
-                PlanCase(
-                    "a guarantee, nobody is above theirs",
-                    snapshot(listOf(covered(1)), two, there = 1.8, redUses = 100.0),
-                    emptyList(),
-                    RefusalReason.NO_STOPPABLE_TASKS,
-                ),
-                PlanCase(
-                    "a guarantee, all is within others'",
-                    snapshot(
-                        listOf(covered(1)),
-                        on(machine(1, listOf(red(1, covered = true)))),
-                        there = 1.8,
-                    ),
-                    emptyList(),
-                    RefusalReason.NO_STOPPABLE_TASKS,
-                ),
-                PlanCase(
-                    "a guarantee, all ends soon",
-                    snapshot(
-                        listOf(covered(1)),
-                        on(machine(1, listOf(red(1, remainingS = 3.5)))),
-                        there = 1.8,
-                    ),
-                    emptyList(),
-                    RefusalReason.NO_STOPPABLE_TASKS,
+        private val CROWDED_MACHINES =
+            listOf(machine(1, redTasks(1)), machine(2, redTasks(2).map { it.copy(elapsedS = 2.0) }))
+
+        private val REASSIGNMENT_PLANS = listOf(
+            PlanCase(
+                "a queue here and room there",
+                snapshot(listOf(waits())),
+                listOf("j-000001 233 to b: SHORTER_WAIT"),
+                null,
+            ),
+            PlanCase(
+                "the image is not there",
+                snapshot(listOf(waits()), images = emptySet()),
+                listOf("j-000001 207 to b: SHORTER_WAIT"),
+                null,
+            ),
+            PlanCase(
+                "means that differ little",
+                snapshot(listOf(waits()), here = 0.9, there = 0.7),
+                emptyList(),
+                RefusalReason.GAIN_TOO_SMALL,
+            ),
+            PlanCase(
+                "the same after a long wait",
+                snapshot(listOf(waits(waitedS = 50.0)), here = 0.9, there = 0.7),
+                listOf("j-000001 13 to b: OVERDUE"),
+                null,
+            ),
+            PlanCase(
+                "bound to its zone",
+                snapshot(listOf(waits(small.copy(zone = "a")))),
+                emptyList(),
+                RefusalReason.BOUND_TO_ZONE,
+            ),
+            PlanCase(
+                "in one zone, partly placed",
+                snapshot(listOf(waits(small.copy(sameZone = true)).copy(isEntirelyPending = false))),
+                emptyList(),
+                RefusalReason.PARTLY_PLACED,
+            ),
+            PlanCase(
+                "in one zone, as a whole",
+                snapshot(listOf(waits(small.copy(sameZone = true)))),
+                listOf("j-000001 320 to b: SHORTER_WAIT"),
+                null,
+            ),
+            PlanCase(
+                "in one zone, far too much",
+                snapshot(listOf(waits(small.copy(sameZone = true), tasks = 300))),
+                emptyList(),
+                RefusalReason.GAIN_TOO_SMALL,
+            ),
+            PlanCase(
+                "just arrived",
+                snapshot(listOf(waits(secondsSinceArrival = 10.0))),
+                emptyList(),
+                RefusalReason.JUST_ARRIVED,
+            ),
+            PlanCase(
+                "arrived a while ago",
+                snapshot(listOf(waits(secondsSinceArrival = 40.0, tasks = 2))),
+                listOf("j-000001 8 to b: SHORTER_WAIT"),
+                null,
+            ),
+            PlanCase(
+                "no owner elsewhere",
+                snapshot(listOf(waits()), targets = listOf("a")),
+                emptyList(),
+                RefusalReason.NO_TARGET,
+            ),
+            PlanCase(
+                "a handover is under way",
+                snapshot(listOf(waits()), open = OpenMoves(reassignmentInProgress = true)),
+                emptyList(),
+                null,
+            ),
+            PlanCase(
+                "an owner that publishes no pressure",
+                snapshot(listOf(waits()), isPublished = false),
+                listOf("j-000001 233 to b: SHORTER_WAIT"),
+                null,
+            ),
+        )
+
+        private val GUARANTEE_PLANS = listOf(
+            PlanCase(
+                "a guarantee, least work lost",
+                snapshot(listOf(covered(1)), CROWDED_MACHINES, there = 1.8),
+                listOf("j-000002/8 on m-2: GUARANTEE"),
+                null,
+            ),
+            PlanCase(
+                "a guarantee, a stop is under way",
+                snapshot(
+                    listOf(covered(1)),
+                    CROWDED_MACHINES,
+                    there = 1.8,
+                    open = OpenMoves(stopsForJob = mapOf("j-000009" to 1)),
                 ),
-                PlanCase(
-                    "a guarantee, stopped a while ago",
-                    snapshot(
-                        listOf(covered(1)),
-                        on(machine(1, listOf(red(1).copy(isCoolingDown = true)))),
-                        there = 1.8,
-                    ),
-                    emptyList(),
-                    RefusalReason.NO_STOPPABLE_TASKS,
+                emptyList(),
+                null,
+            ),
+            PlanCase(
+                "a guarantee, no patience yet",
+                snapshot(listOf(covered(1, waitedS = 1.0)), CROWDED_MACHINES, there = 1.8),
+                emptyList(),
+                RefusalReason.WAIT_TOO_SHORT,
+            ),
+            PlanCase(
+                "a guarantee, room comes soon",
+                snapshot(listOf(covered(1)), CROWDED_MACHINES + machine(3, listOf(red(20, remainingS = 2.0))), there = 1.8),
+                emptyList(),
+                RefusalReason.CAPACITY_EXPECTED_SOON,
+            ),
+            PlanCase(
+                "a guarantee, nobody is above theirs",
+                snapshot(listOf(covered(1)), CROWDED_MACHINES, there = 1.8, redUses = 100.0),
+                emptyList(),
+                RefusalReason.NO_STOPPABLE_TASKS,
+            ),
+            PlanCase(
+                "a guarantee, all is within others'",
+                snapshot(
+                    listOf(covered(1)),
+                    listOf(machine(1, listOf(red(1, covered = true)))),
+                    there = 1.8,
                 ),
-                PlanCase(
-                    "a slow machine is emptied",
-                    snapshot(emptyList(), on(machine(1, listOf(red(1, remainingS = 20.0)), true, 3.0))),
-                    listOf("j-000002/1 on m-1: DRAIN"),
-                    null,
+                emptyList(),
+                RefusalReason.NO_STOPPABLE_TASKS,
+            ),
+            PlanCase(
+                "a guarantee, all ends soon",
+                snapshot(
+                    listOf(covered(1)),
+                    listOf(machine(1, listOf(red(1, remainingS = 3.5)))),
+                    there = 1.8,
                 ),
-                PlanCase(
-                    "a slow machine, little to gain",
-                    snapshot(emptyList(), on(machine(1, listOf(red(1, elapsedS = 18.0)), true, 2.0))),
-                    emptyList(),
-                    RefusalReason.GAIN_TOO_SMALL,
+                emptyList(),
+                RefusalReason.NO_STOPPABLE_TASKS,
+            ),
+            PlanCase(
+                "a guarantee, stopped a while ago",
+                snapshot(
+                    listOf(covered(1)),
+                    listOf(machine(1, listOf(red(1).copy(isCoolingDown = true)))),
+                    there = 1.8,
                 ),
-            )
-        }
+                emptyList(),
+                RefusalReason.NO_STOPPABLE_TASKS,
+            ),
+        )
+
+        private val DRAIN_PLANS = listOf(
+            PlanCase(
+                "a slow machine is emptied",
+                snapshot(emptyList(), listOf(machine(1, listOf(red(1, remainingS = 20.0)), true, 3.0))),
+                listOf("j-000002/1 on m-1: DRAIN"),
+                null,
+            ),
+            PlanCase(
+                "a slow machine, little to gain",
+                snapshot(emptyList(), listOf(machine(1, listOf(red(1, elapsedS = 18.0)), true, 2.0))),
+                emptyList(),
+                RefusalReason.GAIN_TOO_SMALL,
+            ),
+        )
+
+        @JvmStatic
+        fun plans(): List<PlanCase> = REASSIGNMENT_PLANS + GUARANTEE_PLANS + DRAIN_PLANS
     }
 }
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPropertyTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPropertyTest.kt
@@ -42,7 +42,7 @@
     }
 
     private fun checkBounds(stops: List<Move.Stop>, snapshot: PlannerSnapshot, settings: LoadSpreadSettings) {
-        val most = maxOf(1, ceil(snapshot.runningTasks * settings.partitionStopShare).toInt())
+        val most = maxOf(1, ceil(snapshot.running.total * settings.partitionStopShare).toInt())
         // Below the bound, all the tasks may go that are in the way of one other.
         val together = stops.groupBy { it.beneficiary to it.machine }.values.maxOfOrNull { it.size } ?: 0
         assertTrue(stops.size < most + maxOf(1, together), "${stops.size} stops of $most")
@@ -86,9 +86,11 @@
             waiting = List(jobCount) { job(random, it, teams) },
             machines = machines,
             sampledShare = 0.1 + random.nextDouble() * 0.9,
-            runningTasks = running.size,
-            runningByTeam = running.groupingBy { it.team }.eachCount(),
-            runningByJob = running.groupingBy { it.spec.id }.eachCount(),
+            running = RunningTaskCounts(
+                total = running.size,
+                byTeam = running.groupingBy { it.team }.eachCount(),
+                byJob = running.groupingBy { it.spec.id }.eachCount(),
+            ),
             open = OpenMoves(reassignmentInProgress = random.nextInt(4) == 0),
             targets = { partitions.keys.toList() },
             lostWorkBudgetCoreS = random.nextDouble() * 200,
@@ -102,13 +104,9 @@
         running: List<RunningTask>,
     ): PartitionPressure {
         val pressures = teams.associateWith { team ->
-            val used = if (zone ==
-                "a"
-            ) {
-                running.filter { it.team == team }.sumOf { it.spec.cores }
-            } else {
-                random.nextDouble() * 100
-            }
+            val isHere = zone == "a"
+            val usedHere = running.filter { it.team == team }.sumOf { it.spec.cores }
+            val used = if (isHere) usedHere else random.nextDouble() * 100
             TeamPressure(Resources(cores = used), random.nextDouble() * 200)
         }
         val images = setOf("i-0", "i-1").filter { random.nextBoolean() }.toSet()
