--- a/src/main/kotlin/io/otterknot/cli/MovesCommand.kt
+++ b/src/main/kotlin/io/otterknot/cli/MovesCommand.kt
@@ -13,9 +13,9 @@
 /** `otterknot moves`: what load spread moved, what it left where it was, and why, from controllers' logs. */
 internal object MovesCommand {
     const val NAME = "moves"
-    private const val LOG = "--log"
-    private const val TEAM = "--team"
-    private const val JSON = "--json"
+    private const val LOG_OPTION = "--log"
+    private const val TEAM_OPTION = "--team"
+    private const val JSON_OPTION = "--json"
     private val prettyJson = Json { prettyPrint = true }
 
     fun spec(): CommandSpec {
@@ -24,31 +24,42 @@
             "Explains from controllers' logs which work load spread moved, which it left where it was, and why.",
         )
         spec.mixinStandardHelpOptions(true)
-        val log = OptionSpec.builder(
-            "-l",
-            LOG,
-        ).paramLabel("FILE").type(List::class.java).auxiliaryTypes(Path::class.java)
-        spec.addOption(log.required(true).description("a controller's log; may be given several times").build())
-        val team = OptionSpec.builder(TEAM).paramLabel("TEAM").type(String::class.java)
-        spec.addOption(team.description("this team alone").build())
-        spec.addOption(OptionSpec.builder(JSON).type(Boolean::class.java).description("as JSON").build())
-        return spec
+        return spec.addOption(logOption()).addOption(teamOption()).addOption(jsonOption())
     }
 
+    private fun logOption() = OptionSpec.builder("-l", LOG_OPTION)
+        .paramLabel("FILE")
+        .type(List::class.java)
+        .auxiliaryTypes(Path::class.java)
+        .required(true)
+        .description("a controller's log; may be given several times")
+        .build()
+
+    private fun teamOption() = OptionSpec.builder(TEAM_OPTION)
+        .paramLabel("TEAM")
+        .type(String::class.java)
+        .description("this team alone")
+        .build()
+
+    private fun jsonOption() = OptionSpec.builder(JSON_OPTION)
+        .type(Boolean::class.java)
+        .description("as JSON")
+        .build()
+
     fun execute(parsed: CommandLine.ParseResult): Int {
-        val logs = parsed.matchedOptionValue<List<Path>>(LOG, emptyList())
-        val team = parsed.matchedOptionValue<String?>(TEAM, null)
+        val logs = parsed.matchedOptionValue<List<Path>>(LOG_OPTION, emptyList())
+        val team = parsed.matchedOptionValue<String?>(TEAM_OPTION, null)
         val report = try {
             read(logs, team)
         } catch (e: IOException) {
             System.err.println("otterknot: cannot read ${e.message}")
-            return USAGE
+            return ExitCode.USAGE
         }
-        val asJson = parsed.matchedOptionValue(JSON, false)
-        if (asJson) println(prettyJson.encodeToString(MoveLogReport.serializer(), report)) else print(report)
-        return OK
+        print(report, asJson = parsed.matchedOptionValue(JSON_OPTION, false))
+        return ExitCode.OK
     }
 
+    /** The report of [logs]; of one [team] alone unless that is null. */
     private fun read(logs: List<Path>, team: String?): MoveLogReport {
         val lines = logs.flatMap { log ->
             log.useLines { lines -> lines.filter(MoveReport::isMarked).toList() }
@@ -58,5 +69,11 @@
         return report.copy(teams = report.teams.filter { it.team == team })
     }
 
-    private fun print(report: MoveLogReport) = MoveReport.text(report).forEach(::println)
+    private fun print(report: MoveLogReport, asJson: Boolean) {
+        if (asJson) {
+            println(prettyJson.encodeToString(MoveLogReport.serializer(), report))
+        } else {
+            MoveReport.text(report).forEach(::println)
+        }
+    }
 }
--- a/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
+++ b/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
@@ -70,8 +70,8 @@
 
     /** A segment under construction, which begins with what [record] says of jobs that are not finished. */
     private inner class SegmentBuilder(record: CompletionSegmentRecord) {
-        private val bits = record.bitmaps.filterKeys(jobs::isBitmapNeeded).toMutableMap()
-        private val fineBits = record.fineBitmaps.orEmpty().filterKeys(jobs::isBitmapNeeded).toMutableMap()
+        private val bitmaps = record.bitmaps.filterKeys(jobs::isBitmapNeeded).toMutableMap()
+        private val fineBitmaps = record.fineBitmaps.orEmpty().filterKeys(jobs::isBitmapNeeded).toMutableMap()
 
         var isChanged = false
             private set
@@ -81,7 +81,7 @@
          * segment too large. An empty segment takes anything.
          */
         fun add(chunk: Chunk): Boolean {
-            val entries = if (chunk.size == TaskBitmaps.CHUNK_TASKS) bits else fineBits
+            val entries = if (chunk.size == TaskBitmaps.CHUNK_TASKS) bitmaps else fineBitmaps
             val tasks = chunk.job.unrecordedCompletions.clone() as BitSet
             entries[chunk.name]?.let { TaskBitmaps.decodeInto(it, chunk.index, tasks, chunk.size) }
             val text = TaskBitmaps.encode(tasks, chunk.index, chunk.size)
@@ -92,17 +92,17 @@
         }
 
         private fun hasRoomFor(chunk: Chunk, text: String, replaced: String?): Boolean {
-            if (bits.isEmpty() && fineBits.isEmpty()) return true
+            if (bitmaps.isEmpty() && fineBitmaps.isEmpty()) return true
             val replacedBytes = replaced?.let { entryBytes(chunk.name, it) } ?: 0
             return bytes() - replacedBytes + entryBytes(chunk.name, text) <= limits.maxRecordBytes
         }
 
         fun toWrite(key: String): PendingWrite {
-            val record = CompletionSegmentRecord(bits, fineBits.ifEmpty { null })
+            val record = CompletionSegmentRecord(bitmaps, fineBitmaps.ifEmpty { null })
             return PendingWrite(key, encodeRecord(CompletionSegmentRecord.serializer(), record))
         }
 
-        private fun bytes(): Int = listOf(bits, fineBits).sumOf { entries ->
+        private fun bytes(): Int = listOf(bitmaps, fineBitmaps).sumOf { entries ->
             entries.entries.sumOf { entryBytes(it.key, it.value) }
         }
 
--- a/src/main/kotlin/io/otterknot/controller/PartitionLoadPublisher.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionLoadPublisher.kt
@@ -38,9 +38,9 @@
     }
 
     private fun currentLoad(partition: Partition): PartitionLoadRecord {
-        val needs = limitedTeams.associateWith {
-            partition.quota.need(it)
-        }.filterValues { it.cores > 0 || it.cards > 0 }
+        val needs = limitedTeams
+            .associateWith { partition.quota.need(it) }
+            .filterValues { it.cores > 0 || it.cards > 0 }
         return PartitionLoadRecord(
             meanLoad = round(partition.load.mean()),
             cores = partition.load.totalCores,
--- a/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
+++ b/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
@@ -31,12 +31,12 @@
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `a job cancelled while earlier batches are written stays cancelled`() = runTest {
-        val bench = StoreFixture(this, changesPerS = 2.0)
-        val client = bench.client
-        val jobs = bench.readJobs()
-        val replica = bench.replica
+        val fixture = StoreFixture(this, changesPerS = 2.0)
+        val client = fixture.client
+        val jobs = fixture.readJobs()
+        val replica = fixture.replica
         val leadership = PartitionLeadership(
-            "n", listOf("a"), mapOf("n" to "a"), client, replica, 20_000, bench.now, Random(1),
+            "n", listOf("a"), mapOf("n" to "a"), client, replica, 20_000, fixture.now, Random(1),
             machines = { emptySet() }, onClaim = { _, _, _ -> }, onLoss = {}, mayClaim = { true },
         )
         launch { replica.followWatch() }
@@ -50,16 +50,16 @@
                 value = encodeRecord(CompletionSegmentRecord.serializer(), completions),
             )
         val accepted = ids.map { jobChange(it, JobRecord(smallJob(it), listOf(TaskSpan("a", 0, 1)))) }
-        bench.state.store(*accepted.toTypedArray(), done)
+        fixture.state.store(*accepted.toTypedArray(), done)
         delay(500)
-        val finalizer = JobFinalizer(StoreAccess(client, replica, WriteLimits(8_192, 1)), jobs, leadership, bench.now)
+        val finalizer = JobFinalizer(StoreAccess(client, replica, WriteLimits(8_192, 1)), jobs, leadership, fixture.now)
         val finishing = launch { finalizer.finishAll() }
         // One change at a time, and two of them a second: the last one's turn comes later.
         delay(700)
-        bench.state.store(jobChange(ids.last(), JobRecord(terminalState = TerminalState.CANCELLED, taskCount = 1)))
+        fixture.state.store(jobChange(ids.last(), JobRecord(terminalState = TerminalState.CANCELLED, taskCount = 1)))
         finishing.join()
         val finals = ids.map {
-            decodeRecord(JobRecord.serializer(), bench.state.value(StoreKeys.job(it))!!).terminalState
+            decodeRecord(JobRecord.serializer(), fixture.state.value(StoreKeys.job(it))!!).terminalState
         }
         assertEquals(List(5) { TerminalState.DONE } + TerminalState.CANCELLED, finals)
         currentCoroutineContext().cancelChildren()
