--- a/src/test/kotlin/io/otterknot/partition/FailoverReconciliationTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/FailoverReconciliationTest.kt
@@ -1,6 +1,7 @@
 package io.otterknot.partition
 
 import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
@@ -16,9 +17,9 @@
             partition.heartbeat("m1", PRIOR_TOKEN, 100, runningTask("j-000001/0")),
         )
         assertTrue(partition.heartbeat("m1", TOKEN, 200, runningTask("j-000001/0")).commands().isEmpty())
-        assertTrue(!partition.reconciled, "m2 may hold the other tasks")
+        assertFalse(partition.reconciled, "m2 may hold the other tasks")
         assertTrue(partition.heartbeat("m2", PRIOR_TOKEN, 300).commands().isEmpty())
-        assertTrue(!partition.reconciled, "m2 has not shown the token")
+        assertFalse(partition.reconciled, "m2 has not shown the token")
         val started = partition.heartbeat("m2", TOKEN, 400).starts() +
             partition.heartbeat("m1", TOKEN, 500, runningTask("j-000001/0")).starts()
         assertEquals(setOf("j-000001/1", "j-000001/2", "j-000001/3"), started.map { it.task }.toSet())
@@ -31,7 +32,7 @@
             partition.updateJob(job(1, 1), inherited = true)
             partition.heartbeat("m1", TOKEN, 100)
             partition.sweep(10_000)
-            assertTrue(!partition.reconciled)
+            assertFalse(partition.reconciled)
             if (released) partition.fleet.machineReleased("gone")
             partition.sweep(if (released) 10_000 else 10_800)
             assertEquals(1, partition.heartbeat("m1", TOKEN, 10_900).starts().size)
@@ -65,7 +66,7 @@
         ids.forEach { partition.heartbeat(it, PRIOR_TOKEN, 100) }
         typeLookups = 0
         ids.dropLast(1).forEach { partition.heartbeat(it, TOKEN, 200) }
-        assertTrue(!partition.reconciled)
+        assertFalse(partition.reconciled)
         assertTrue(typeLookups < 5 * machines, "$typeLookups looked up for $machines heartbeats")
     }
 
@@ -74,7 +75,7 @@
         val partition = partition(priorLeaderUntilMs = 20_000)
         partition.sweep(10)
         assertTrue(partition.reconciled)
-        assertTrue(!partition.mayTransferLeadership(19_000))
+        assertFalse(partition.mayTransferLeadership(19_000))
         assertTrue(partition.mayTransferLeadership(21_000))
     }
 
@@ -84,11 +85,11 @@
      */
     @Test
     fun `a machine that never shows the token holds up doubts no longer than two leases`() {
-        val partition = partition(listOf("m1", "deaf"))
+        val partition = partition(listOf("m1", "lossy"))
         partition.updateJob(job(1, 1), inherited = true)
         var startedAt = 0L
         for (now in 100L..40_000L step 800) {
-            partition.heartbeat("deaf", PRIOR_TOKEN, now, runningTask("j-000001/0"))
+            partition.heartbeat("lossy", PRIOR_TOKEN, now, runningTask("j-000001/0"))
             partition.sweep(now)
             if (partition.heartbeat("m1", TOKEN, now + 1).starts().isNotEmpty()) {
                 startedAt = now
--- a/src/test/kotlin/io/otterknot/partition/MachineHealthTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/MachineHealthTest.kt
@@ -5,6 +5,7 @@
 import io.otterknot.testing.applyRecord
 import io.otterknot.wire.TaskStatus
 import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
@@ -47,24 +48,24 @@
         partition.updateJob(job(1, 1), inherited = true)
         ids.drop(missing).forEach { partition.heartbeat(it, TOKEN, now - 500) }
         assertEquals(ids.take(returned), partition.fleet.unresponsive(now, 7_500).sorted())
-        assertTrue(!partition.reconciled)
+        assertFalse(partition.reconciled)
     }
 
     @Test
     fun `a machine that loses responses gets one task at a time at most, and is to be released`() {
         val partition = partition()
-        partition.register("deaf", "m1", "m2", "m3")
+        partition.register("lossy", "m1", "m2", "m3")
         partition.updateJob(job(1, 60, cores = 1.0), inherited = false)
         var probes = 0
         for (now in 10L..12_000L step 800) {
-            val starts = partition.heartbeat("deaf", TOKEN, now).starts()
+            val starts = partition.heartbeat("lossy", TOKEN, now).starts()
             if (starts.isNotEmpty()) probes++
             if (probes > 2) assertTrue(starts.size <= 1)
             listOf("m1", "m2", "m3").forEach { partition.heartbeat(it, TOKEN, now) }
-            if (now > 3_000) assertTrue(partition.machine("deaf")!!.losesResponses)
+            if (now > 3_000) assertTrue(partition.machine("lossy")!!.losesResponses)
         }
         assertTrue(probes <= 7, "$probes")
-        assertTrue("deaf" in partition.fleet.losingResponses())
+        assertTrue("lossy" in partition.fleet.losingResponses())
         partition.sweep(12_100, isLeaderSlow = true)
         val blamed = partition.fleet.losingResponses()
         assertEquals(emptyList<String>(), blamed, "the leader is slow, and no machine to blame")
@@ -73,17 +74,17 @@
     @Test
     fun `among machines that get their responses only the one that loses them is to be released`() {
         val partition = partition()
-        partition.register("deaf", "m1", "m2", "m3")
+        partition.register("lossy", "m1", "m2", "m3")
         partition.updateJob(job(2, 60, cores = 1.0), inherited = false)
         val running = HashMap<String, List<TaskStatus>>()
         for (now in 10L..30_000L step 800) {
-            partition.heartbeat("deaf", TOKEN, now)
+            partition.heartbeat("lossy", TOKEN, now)
             for (id in listOf("m1", "m2", "m3")) {
                 val starts = partition.heartbeat(id, TOKEN, now, running[id].orEmpty()).starts()
                 running.merge(id, starts.running(), List<TaskStatus>::plus)
             }
             partition.sweep(now)
         }
-        assertEquals(listOf("deaf"), partition.fleet.losingResponses())
+        assertEquals(listOf("lossy"), partition.fleet.losingResponses())
     }
 }
--- a/src/test/kotlin/io/otterknot/partition/MachineLifecycleTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/MachineLifecycleTest.kt
@@ -1,6 +1,7 @@
 package io.otterknot.partition
 
 import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
@@ -22,7 +23,7 @@
     }
 
     @Test
-    fun `late copies of heartbeats bring a forgotten or released machine not back`() {
+    fun `a late copy of a heartbeat does not bring a forgotten or released machine back`() {
         val partition = partition()
         partition.register("m1", "m2")
         partition.updateJob(job(1, 1), inherited = false)
@@ -35,7 +36,7 @@
             remove(machine)
             val late = partition.heartbeat(machine, TOKEN, 30, listOf(start.status()), sequence = seen)
             assertEquals(HeartbeatDecision.Stale, late)
-            assertEquals(null, partition.machine(machine))
+            assertNull(partition.machine(machine))
         }
         assertEquals(
             HeartbeatDecision.Stale,
--- a/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
@@ -8,6 +8,7 @@
 import io.otterknot.wire.Priority
 import io.otterknot.wire.TaskState
 import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
@@ -66,7 +67,8 @@
         // A heartbeat from before, delivered only now, shows one of them on a machine whose lease has expired since.
         partition.heartbeat("m3", TOKEN, 20, runningTask("j-000001/5"))
         partition.heartbeat("m3", TOKEN, 30, epoch = 2, sequence = 1)
-        assertTrue(!partitionJob.pending.get(5) && !partitionJob.active.containsKey(5))
+        assertFalse(partitionJob.pending.get(5))
+        assertFalse(partitionJob.active.containsKey(5))
         partition.completeReassignment(partitionJob, reserved)
         assertEquals(4, partitionJob.pendingCount)
     }
