--- a/src/main/kotlin/io/otterknot/api/JobCanceller.kt
+++ b/src/main/kotlin/io/otterknot/api/JobCanceller.kt
@@ -35,13 +35,13 @@
         val job = jobs[id] ?: return NotFound(id)
         // Decided and guarded in one step: while the cancellation waits for its turn, the job may end.
         val cancellation = JobTransitions.cancel(job, wallMs(), store.limits) ?: return statusReader.existing(job)
-        if (!store.awaitTurn(cancellation)) return Unavailable(UnavailableReason.RATE_LIMITED)
         return send(id, cancellation)
     }
 
     /** Null: the job has changed meanwhile, or [cancellation] was too large and has to be made smaller. */
-    private suspend fun send(id: String, cancellation: CompareAndSwap): JobRequestOutcome? =
-        when (val outcome = store.client.transact(cancellation)) {
+    private suspend fun send(id: String, cancellation: CompareAndSwap): JobRequestOutcome? {
+        if (!store.awaitTurn(cancellation)) return Unavailable(UnavailableReason.RATE_LIMITED)
+        return when (val outcome = store.client.transact(cancellation)) {
             is TransactionOutcome.Applied -> {
                 store.awaitRevisionAfterWrite(outcome.revision)
                 log.info("job={} cancelled by its user", id)
@@ -59,6 +59,7 @@
             is TransactionOutcome.Unknown ->
                 retryIf(store.awaitCurrentReplicaAfterWrite(), UnavailableReason.STORE_SILENT)
         }
+    }
 
     /** Null, for another attempt, if [condition] holds; otherwise the user has to repeat the request. */
     private fun retryIf(condition: Boolean, otherwise: UnavailableReason): JobRequestOutcome? =
--- a/src/main/kotlin/io/otterknot/api/JobSubmitter.kt
+++ b/src/main/kotlin/io/otterknot/api/JobSubmitter.kt
@@ -39,17 +39,21 @@
         } catch (e: MalformedMessageException) {
             return refuse(id, Malformed(e.message.orEmpty()))
         }
+        return checkAdmission(spec) ?: checkDependencies(spec) ?: create(spec)
+    }
+
+    /** Null: the job could run. */
+    private suspend fun checkAdmission(spec: JobSpec): JobRequestOutcome? {
         val offered = admission.offeredTypes ?: return Unavailable(UnavailableReason.MACHINE_TYPES_UNKNOWN)
-        admission.findObstacle(spec, offered)?.let { return refuse(spec.id, Unsatisfiable(it)) }
-        if (!spec.dependencies.isNullOrEmpty()) checkDependencies(spec)?.let { return it }
-        return create(spec)
+        return admission.findObstacle(spec, offered)?.let { refuse(spec.id, Unsatisfiable(it)) }
     }
 
     /** Only accepted jobs may be depended on; another controller may have accepted one a moment ago. Null: they are. */
     private suspend fun checkDependencies(spec: JobSpec): JobRequestOutcome? {
+        if (spec.dependencies.isNullOrEmpty()) return null
         if (!store.awaitCurrentReplica()) return Unavailable(UnavailableReason.STORE_AWAY)
         jobs[spec.id]?.let { return statusReader.existing(it) }
-        val unknown = spec.dependencies.orEmpty().firstOrNull { jobs[it] == null } ?: return null
+        val unknown = spec.dependencies.firstOrNull { jobs[it] == null } ?: return null
         return refuse(spec.id, Unsatisfiable("Awaits names $unknown, which was never accepted"))
     }
 
--- a/src/main/kotlin/io/otterknot/controller/RequestRouter.kt
+++ b/src/main/kotlin/io/otterknot/controller/RequestRouter.kt
@@ -10,7 +10,7 @@
     suspend fun route(request: HttpRequest): HttpResponse {
         val path = request.path
         return when {
-            path == HEARTBEAT_PATH -> allow(request, "POST") { heartbeats.handle(request.body) }
+            path == HEARTBEAT_PATH -> allow(request, "POST") { heartbeats.receive(request.body) }
             path == READINESS_PATH -> allow(request, "GET") { jobApi.readiness() }
             path == JOBS_PATH -> allow(request, "POST") { jobApi.submit(request.body) }
             path.startsWith(JOB_PREFIX) -> routeJob(request, path.removePrefix(JOB_PREFIX))
--- a/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
@@ -1,6 +1,7 @@
 package io.otterknot.heartbeat
 
 import io.otterknot.http.HttpResponse
+import io.otterknot.http.HttpStatus
 import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.partition.HeartbeatDecision
 import io.otterknot.partition.Partition
@@ -11,51 +12,63 @@
 import io.otterknot.wire.MalformedMessageException
 import io.otterknot.wire.parseHeartbeat
 
-/** Where workers' reports come in: answered by the owner of the machine's partition, redirected by everyone else. */
+/**
+ * `POST /v1/report`, the heartbeats of workers: the leader of the machine's partition responds with commands, every
+ * other controller redirects the worker to that leader.
+ *
+ * @param label this controller's name among the controllers
+ * @param partitions the partitions in service here, by zone
+ * @param nowMs a steady clock, in milliseconds
+ */
 class HeartbeatEndpoint(
     private val label: String,
-    private val ownership: PartitionLeadership,
+    private val leadership: PartitionLeadership,
     private val partitions: Map<String, Partition>,
     private val nowMs: () -> Long,
 ) {
-    fun handle(body: ByteArray): HttpResponse {
-        val report = try {
+    fun receive(body: ByteArray): HttpResponse {
+        val heartbeat = try {
             parseHeartbeat(body)
         } catch (e: MalformedMessageException) {
-            return HttpResponse.refusal(400, e.message.orEmpty())
+            return HttpResponse.refusal(HttpStatus.BAD_REQUEST, e.message.orEmpty())
         }
-        val zone = report.zone
-        // The fence is asked after the report came in: an answer given now counts from a report sent earlier.
-        val token = ownership.token(zone) ?: return elsewhere(report)
-        if (report.fencingToken > token) return lost(zone)
-        // Claimed, but not everything written before the claim has been read yet: no commands, only the new token.
-        val partition = partitions[zone]?.takeIf { it.fencingToken == token } ?: return answer(token, emptyList())
-        return when (val decision = partition.applyHeartbeat(report, nowMs())) {
-            is HeartbeatDecision.Answer -> answer(decision.fencingToken, decision.commands)
-            HeartbeatDecision.Superseded -> lost(zone)
-            HeartbeatDecision.Stale -> HttpResponse.refusal(503, "a newer report came before this one")
+        // The fence is checked after the heartbeat has arrived, so that the worker's lease, which counts from when the
+        // heartbeat was sent, starts before the fence was seen to hold.
+        val fencingToken = leadership.token(heartbeat.zone) ?: return redirect(heartbeat)
+        return respondAsLeader(heartbeat, fencingToken)
+    }
+
+    private fun respondAsLeader(heartbeat: Heartbeat, fencingToken: Long): HttpResponse {
+        val zone = heartbeat.zone
+        if (heartbeat.fencingToken > fencingToken) return leadershipLost(zone)
+        // Until all that was written before the acquisition has been read, there are no commands, only the new token.
+        val partition = partitions[zone]?.takeIf { it.fencingToken == fencingToken }
+            ?: return respond(fencingToken, emptyList())
+        return when (val decision = partition.applyHeartbeat(heartbeat, nowMs())) {
+            is HeartbeatDecision.Answer -> respond(decision.fencingToken, decision.commands)
+            HeartbeatDecision.Superseded -> leadershipLost(zone)
+            HeartbeatDecision.Stale -> unavailable("a newer report came before this one")
         }
     }
 
-    private fun lost(zone: String): HttpResponse {
-        ownership.leadershipLost(zone)
-        return HttpResponse.refusal(503, "$label has lost $zone")
+    /** The worker has seen a higher fencing token than this controller's. */
+    private fun leadershipLost(zone: String): HttpResponse {
+        leadership.leadershipLost(zone)
+        return unavailable("$label has lost $zone")
     }
 
-    private fun elsewhere(report: Heartbeat): HttpResponse {
-        val zone = report.zone
-        val owner = ownership.leaderOf(zone)
-        if (owner == null || owner == label) return HttpResponse.refusal(503, "nobody may act for $zone at the moment")
-        ownership.workerRedirected(zone, report.machine, report.fencingToken)
-        if (ownership.suspectsLeader(
-                zone,
-            )
-        ) {
-            return HttpResponse.refusal(503, "$owner seems not to answer the workers of $zone")
-        }
-        return HttpResponse.json(421, LeaderRedirect.serializer(), LeaderRedirect(owner))
+    private fun redirect(heartbeat: Heartbeat): HttpResponse {
+        val zone = heartbeat.zone
+        val leader = leadership.leaderOf(zone)
+        if (leader == null || leader == label) return unavailable("nobody may act for $zone at the moment")
+        leadership.workerRedirected(zone, heartbeat.machine, heartbeat.fencingToken)
+        if (leadership.suspectsLeader(zone)) return unavailable("$leader seems not to answer the workers of $zone")
+        return HttpResponse.json(HttpStatus.MISDIRECTED_REQUEST, LeaderRedirect.serializer(), LeaderRedirect(leader))
     }
 
-    private fun answer(token: Long, commands: List<HeartbeatCommand>) =
-        HttpResponse.json(200, HeartbeatResponse.serializer(), HeartbeatResponse(token, commands))
+    private fun respond(fencingToken: Long, commands: List<HeartbeatCommand>) =
+        HttpResponse.json(HttpStatus.OK, HeartbeatResponse.serializer(), HeartbeatResponse(fencingToken, commands))
+
+    /** The worker tries the next controller. */
+    private fun unavailable(reason: String) = HttpResponse.refusal(HttpStatus.SERVICE_UNAVAILABLE, reason)
 }
--- a/src/main/kotlin/io/otterknot/jobs/PriorityInheritance.kt
+++ b/src/main/kotlin/io/otterknot/jobs/PriorityInheritance.kt
@@ -51,8 +51,7 @@
         while (queue.isNotEmpty()) {
             val dependent = queue.removeFirst()
             for (id in dependent.dependencies.jobIds) {
-                val dependency = findJob(id) ?: continue
-                if (dependency.terminalState != null || !dependency.isActive) continue
+                val dependency = findJob(id)?.takeIf { it.isActive && it.terminalState == null } ?: continue
                 if (!update(dependency, dependent)) continue
                 affected.add(dependency)
                 queue.add(dependency)
--- a/src/main/kotlin/io/otterknot/wire/Heartbeats.kt
+++ b/src/main/kotlin/io/otterknot/wire/Heartbeats.kt
@@ -44,6 +44,7 @@
     @SerialName("Saved") val saved: Boolean? = null,
 )
 
+/** The state of a task on its machine. */
 @Serializable(with = TaskStateSerializer::class)
 enum class TaskState(override val wireName: String) : WireEnum {
     /** The machine pulls the image of the task. */
@@ -124,6 +125,7 @@
     }
 }
 
+/** The operation of a [HeartbeatCommand]. */
 @Serializable
 enum class CommandOperation {
     @SerialName("start")
@@ -147,13 +149,7 @@
  * @throws MalformedMessageException with a text for the worker if anything of that is wrong
  */
 fun parseHeartbeat(body: ByteArray): Heartbeat {
-    val heartbeat = try {
-        WireJson.decodeFromString(Heartbeat.serializer(), body.decodeToString())
-    } catch (e: SerializationException) {
-        throw MalformedMessageException("not a report: ${e.message?.lineSequence()?.first()}")
-    } catch (e: IllegalArgumentException) {
-        throw MalformedMessageException("not a report")
-    }
+    val heartbeat = decodeHeartbeat(body)
     if (!heartbeat.hasValidIdentity()) throw MalformedMessageException("Holt, Dive, Ripple or Warrant out of range")
     for (status in heartbeat.tasks) {
         TaskName.parse(status.task)
@@ -162,4 +158,15 @@
     return heartbeat
 }
 
+private fun decodeHeartbeat(body: ByteArray): Heartbeat = try {
+    WireJson.decodeFromString(Heartbeat.serializer(), body.decodeToString())
+} catch (e: IllegalArgumentException) {
+    throw MalformedMessageException(describeDecodingFailure(e))
+}
+
+private fun describeDecodingFailure(failure: IllegalArgumentException): String = when (failure) {
+    is SerializationException -> "not a report: ${failure.message?.lineSequence()?.first()}"
+    else -> "not a report"
+}
+
 private fun Heartbeat.hasValidIdentity() = machine.isNotEmpty() && epoch >= 1 && sequence >= 0 && fencingToken >= 0
--- a/src/main/kotlin/io/otterknot/wire/JobSubmission.kt
+++ b/src/main/kotlin/io/otterknot/wire/JobSubmission.kt
@@ -17,14 +17,13 @@
  */
 fun parseSubmission(body: ByteArray): JobSpec {
     val fields = SubmissionFields(parseObject(body))
-    val id = fields.text("Uid")
-    if (!isJobId(id)) throw MalformedMessageException("Uid is not of the form j-000412")
+    val id = readId(fields)
     if (fields.text("Sort") != "sweep") throw MalformedMessageException("Sort is unknown")
     return JobSpec(
         id = id,
         jobClass = fields.text("Ilk"),
         team = fields.text("Crew"),
-        priority = Priority.byWire[fields.text("Rank")] ?: throw MalformedMessageException("Rank is unknown"),
+        priority = readPriority(fields),
         tasks = fields.count("Chores", 1, MAX_TASKS),
         cores = fields.amount("Cores"),
         cards = fields.amount("Cards"),
@@ -53,17 +52,26 @@
     null
 }
 
-private fun parseObject(body: ByteArray): JsonObject {
-    val element = try {
-        WireJson.parseToJsonElement(body.decodeToString(throwOnInvalidSequence = true))
-    } catch (_: SerializationException) {
-        throw MalformedMessageException("not JSON")
-    } catch (_: CharacterCodingException) {
-        throw MalformedMessageException("not UTF-8")
-    }
-    return element as? JsonObject ?: throw MalformedMessageException("not a JSON object")
+private fun parseObject(body: ByteArray): JsonObject =
+    parseElement(body) as? JsonObject ?: throw MalformedMessageException("not a JSON object")
+
+private fun parseElement(body: ByteArray): JsonElement = try {
+    WireJson.parseToJsonElement(body.decodeToString(throwOnInvalidSequence = true))
+} catch (_: SerializationException) {
+    throw MalformedMessageException("not JSON")
+} catch (_: CharacterCodingException) {
+    throw MalformedMessageException("not UTF-8")
 }
 
+private fun readId(fields: SubmissionFields): String {
+    val id = fields.text("Uid")
+    if (!isJobId(id)) throw MalformedMessageException("Uid is not of the form j-000412")
+    return id
+}
+
+private fun readPriority(fields: SubmissionFields): Priority =
+    Priority.byWire[fields.text("Rank")] ?: throw MalformedMessageException("Rank is unknown")
+
 /** The ids of the jobs to wait for, each once; null: none. */
 private fun readDependencies(fields: SubmissionFields): List<String>? {
     val ids = fields.names("Awaits")?.distinct() ?: return null
