--- a/src/main/kotlin/io/otterknot/rebalance/ClusterPressure.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/ClusterPressure.kt
@@ -3,11 +3,11 @@
 import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 
-/** All partitions and teams together, as one controller sees them at one moment. */
+/** The pressure on all partitions, as one controller sees it at one moment. */
 class ClusterPressure(val partitions: Map<String, PartitionPressure>, private val teams: Map<String, TeamEntitlement>) {
     private val runS = partitions.values.mapNotNull { it.meanRunS }.ifEmpty { null }?.average() ?: DEFAULT_RUN_TIME_S
 
-    /** Cores alone where some owner does not publish what else its machines have. */
+    /** Only cores, unless all leaders publish the memory and cards of their machines. */
     private val capacity: Resources = totalCapacity().let { total ->
         val isPublishedByAll = partitions.values.all { it.teams != null }
         if (isPublishedByAll) total else Resources(cores = total.cores)
@@ -22,7 +22,7 @@
         }
     }
 
-    /** What a team uses in all partitions whose owners publish it: where one does not, this is too little. */
+    /** What [team] uses in all partitions whose leaders publish it; too low if one does not. */
     fun used(team: String): Resources = used[team] ?: Resources.NONE
 
     fun dominantShare(team: String): Double = used(team).dominantShare(capacity)
@@ -41,7 +41,7 @@
 
     /**
      * Of what a team uses in [zone], how much is above its guarantee: its excess in all partitions falls on each in
-     * proportion to what it uses there, so owners that decide apart do not take more than that together.
+     * proportion to what it uses there, so leaders that decide independently do not take more than that together.
      */
     fun excessCores(team: String, zone: String): Double {
         val all = used(team).cores
@@ -52,9 +52,9 @@
     }
 
     /**
-     * How long a further task of [team] would wait in [zone]. With room that is in proportion to the mean, as Saqr
-     * takes the load for the wait. With a queue the team waits for what waits of its own at its share of the cores,
-     * since teams are served in turn by shares, but never longer than for the whole queue.
+     * Expected wait in seconds of a further task of [team] in [zone]. With free capacity it is proportional to the mean
+     * load, as in Saqr. With a queue the team waits for its own waiting tasks at its share of the cores, since fair
+     * share serves the teams in turn, but never longer than for the whole queue.
      */
     fun waitS(team: String, zone: String, spec: JobSpec): Double {
         val partition = partitions.getValue(zone)
--- a/src/main/kotlin/io/otterknot/rebalance/DrainPlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/DrainPlanner.kt
@@ -3,30 +3,27 @@
 import io.otterknot.config.LoadSpreadSettings
 
 /**
- * Decides which tasks on machines that are being emptied are stopped, since they end sooner elsewhere: slow machines
- * above all. PROTOCOL allows a task to be stopped in order to drain its machine.
+ * Decides which tasks on draining machines are stopped because they complete sooner elsewhere, above all those on slow
+ * machines. PROTOCOL allows a task to be stopped in order to drain its machine.
  */
 internal class DrainPlanner(private val settings: LoadSpreadSettings) {
     private val weights = CostWeights(settings)
 
     fun plan(snapshot: PlannerSnapshot, limits: StopLimits): MovePlan {
-        val moves = ArrayList<Move>()
-        val refusals = ArrayList<MoveRefusal>()
-        for (machine in snapshot.machines) {
-            if (!machine.draining) continue
-            for (task in machine.tasks) {
-                if (task.isExemptFromStop) continue
+        val plan = MovePlanBuilder()
+        for (machine in snapshot.machines.filter { it.draining }) {
+            for (task in machine.tasks.filterNot { it.isExemptFromStop }) {
                 val gainS = gain(task, machine, snapshot)
-                val refused = refusalReason(task, gainS) ?: limits.refusalReason(listOf(task))
-                if (refused != null) {
-                    refusals.add(MoveRefusal(task.team, task.spec.id, refused))
+                val refusal = refusalReason(task, gainS) ?: limits.refusalReason(listOf(task))
+                if (refusal != null) {
+                    plan.refuse(task, refusal)
                     continue
                 }
                 limits.recordStops(listOf(task))
-                moves.add(machine.stop(task, snapshot.zone, MoveReason.DRAIN, gainS, beneficiary = null))
+                plan.add(machine.stop(task, snapshot.zone, MoveReason.DRAIN, gainS, beneficiary = null))
             }
         }
-        return MovePlan(moves, refusals)
+        return plan.build()
     }
 
     private fun refusalReason(task: RunningTask, gainS: Double): RefusalReason? = when {
@@ -36,7 +33,7 @@
         else -> null
     }
 
-    /** How much sooner the task would end on another machine of the partition. */
+    /** How many weighted seconds sooner the task would complete on another machine of the partition. */
     private fun gain(task: RunningTask, machine: MachineSnapshot, snapshot: PlannerSnapshot): Double {
         val spec = task.spec
         val partition = snapshot.cluster.partitions.getValue(snapshot.zone)
@@ -47,7 +44,7 @@
             0.0,
             snapshot.cluster.waitS(task.team, snapshot.zone, spec) - snapshot.cluster.runS(snapshot.zone),
         )
-        // What it has done here is repeated there unless it saves; the cost of that is in the stop.
+        // Progress without a checkpoint is repeated there; stopCost has the cost of that.
         val there = PlaceCost(queueS + task.remainingS, image, stop = task.stopCost)
         return LocalityCost.gain(here, there, weights)
     }
--- /dev/null
+++ b/src/main/kotlin/io/otterknot/rebalance/MachineCapacity.kt
@@ -0,0 +1,62 @@
+package io.otterknot.rebalance
+
+import io.otterknot.config.LoadSpreadSettings
+import io.otterknot.scheduling.Resources
+
+/** The [tasks] of one machine to stop so that one task fits there; [cost] in weighted core-seconds. */
+internal class StopCandidate(val capacity: MachineCapacity, val tasks: List<RunningTask>, val cost: Double)
+
+/** The free capacity of one [machine] while one plan is made: stops planned so far count as done. */
+internal class MachineCapacity(val machine: MachineSnapshot, private val settings: LoadSpreadSettings) {
+    private var free = machine.free
+    private val stoppedAttempts = HashSet<Long>()
+
+    /**
+     * The tasks to stop so that one task of [job] fits, the least urgent and those that lose least first; null if it
+     * would not fit even then, or fits without any stop.
+     */
+    fun stopCandidate(job: WaitingJob, limits: StopLimits, weights: CostWeights): StopCandidate? {
+        val needed = Resources.of(job.spec)
+        var available = free
+        val chosen = ArrayList<RunningTask>()
+        val excessCores = HashMap<String, Double>()
+        for (task in machine.tasks.sortedWith(LEAST_URGENT_FIRST).filter { isStoppable(it, job) }) {
+            if (available.covers(needed)) break
+            val excess = excessCores.getOrPut(task.team) { limits.remainingExcessCores(task.team) }
+            if (excess < task.spec.cores) continue
+            excessCores[task.team] = excess - task.spec.cores
+            available += Resources.of(task.spec)
+            chosen.add(task)
+        }
+        if (chosen.isEmpty() || !available.covers(needed)) return null
+        return StopCandidate(this, chosen, cost(job, chosen, weights))
+    }
+
+    private fun isStoppable(task: RunningTask, job: WaitingJob): Boolean {
+        val isProtected = task.covered || task.isExemptFromStop || task.isCoolingDown
+        val isPlanned = task.attempt in stoppedAttempts
+        if (task.team == job.team || isProtected || isPlanned) return false
+        val isPriorityLowEnough = settings.anyPriority || task.priority >= job.spec.priority
+        return isPriorityLowEnough && task.remainingS >= settings.leastRemainingS
+    }
+
+    private fun cost(job: WaitingJob, chosen: List<RunningTask>, weights: CostWeights): Double {
+        val image = ImageCost(machine.hasImage(job.spec.image), job.spec.imageGb, machine.fetchGbPerS)
+        return chosen.sumOf { it.lostCoreS } * weights.lostWork + image.seconds * job.spec.cores * weights.fetch
+    }
+
+    /** Counts [stopped] as gone, and one task of [job] as placed here. */
+    fun replace(stopped: List<RunningTask>, job: WaitingJob) {
+        for (task in stopped) {
+            free += Resources.of(task.spec)
+            stoppedAttempts.add(task.attempt)
+        }
+        free -= Resources.of(job.spec)
+    }
+
+    private companion object {
+        /** The least urgent first, then what loses least. */
+        val LEAST_URGENT_FIRST =
+            compareByDescending<RunningTask> { it.priority }.thenBy { it.lostCoreS }.thenBy { it.attempt }
+    }
+}
--- a/src/main/kotlin/io/otterknot/rebalance/Move.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/Move.kt
@@ -1,6 +1,6 @@
 package io.otterknot.rebalance
 
-/** Something that is to be moved. */
+/** A planned move of work of one job. */
 sealed interface Move {
     val zone: String
     val team: String
@@ -8,14 +8,14 @@
     val reason: MoveReason
     val gainS: Double
 
-    /** So many waiting tasks of [job] go to the partition of [target]. */
+    /** Waiting tasks of [job] with [cores] cores go to the partition of zone [target]. */
     data class Reassignment(
         override val zone: String,
         override val team: String,
         override val job: String,
         override val reason: MoveReason,
         override val gainS: Double,
-        /** Cores that the tasks to be moved take together; all of a job's, if it has to be in one zone. */
+        /** Total cores of the tasks to move; all of a job's waiting tasks if it must stay in one zone. */
         val cores: Double,
         val target: String,
     ) : Move
@@ -33,7 +33,7 @@
         val cores: Double,
         /** Core-seconds that are thrown away. */
         val lostCoreS: Double,
-        /** The job that gets the room; null: none in particular. */
+        /** The job that gets the freed capacity; null: none in particular. */
         val beneficiary: String?,
     ) : Move
 }
--- a/src/main/kotlin/io/otterknot/rebalance/MoveEvent.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveEvent.kt
@@ -24,17 +24,17 @@
         val lostCoreS: Double = 0.0,
         val outcome: MoveOutcome? = null,
         val tookMs: Long? = null,
-        /** It was only planned, since load spread observes. */
+        /** Whether it was only planned, since load spread observes. */
         val planned: Boolean = false,
     ) : MoveEvent
 
-    /** What was refused, why nothing was planned, and where work waited, since the last such line. */
+    /** Refusals, pauses and waits since the last summary. */
     @Serializable
     @SerialName("summary")
     data class Summary(
         val zone: String,
         val seconds: Double,
-        /** By team: how often a job of it was looked at and left where it was, by reason. */
+        /** By team: how often a move of one of its jobs was refused, by reason. */
         val refused: Map<String, Map<RefusalReason, Int>> = emptyMap(),
         /** How many plans were not made, by reason. */
         val paused: Map<PlanningPauseReason, Int> = emptyMap(),
--- a/src/main/kotlin/io/otterknot/rebalance/MovePlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MovePlanner.kt
@@ -20,7 +20,7 @@
         return MovePlan(withoutRepeats(parts.flatMap { it.moves }), parts.flatMap { it.refusals })
     }
 
-    /** A task may be on a machine that is being emptied, and in the way of another team's guarantee as well. */
+    /** Keeps the first stop of each attempt: a task on a draining machine may be in the way of a guarantee as well. */
     private fun withoutRepeats(moves: List<Move>): List<Move> {
         val stopped = HashSet<Long>()
         return moves.filter { it !is Move.Stop || stopped.add(it.attempt) }
--- a/src/main/kotlin/io/otterknot/rebalance/MoveReason.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveReason.kt
@@ -10,15 +10,15 @@
     @SerialName("shorter wait")
     SHORTER_WAIT,
 
-    /** It has waited for long, and another partition has room. */
+    /** It has waited long, and another partition has capacity. */
     @SerialName("overdue")
     OVERDUE,
 
-    /** It makes room for work within another team's guarantee. */
+    /** It frees capacity for work within another team's guarantee. */
     @SerialName("guarantee")
     GUARANTEE,
 
-    /** Its machine is being emptied, and it ends sooner elsewhere. */
+    /** Its machine is draining, and it completes sooner elsewhere. */
     @SerialName("drain")
     DRAIN,
 }
--- a/src/main/kotlin/io/otterknot/rebalance/PartitionPressure.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PartitionPressure.kt
@@ -3,7 +3,7 @@
 import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 
-/** What presses on one partition: its own owner's view, or what that owner has published. */
+/** The pressure on one partition: as its leader sees it, or as that leader has published it. */
 data class PartitionPressure(
     val zone: String,
     /** What machines that take work have there. */
@@ -17,7 +17,7 @@
     val fetchFactor: Double = 1.0,
     /** Images that many machines there have. */
     val images: Set<String> = emptySet(),
-    /** By team; null: the owner is of a version that publishes the mean alone. */
+    /** By team; null: the leader runs a version that publishes only the mean. */
     val teams: Map<String, TeamPressure>? = null,
 ) {
     fun meanFor(spec: JobSpec): Double = if (spec.spot) mean else maxOf(ordinaryMean, 0.0)
--- a/src/main/kotlin/io/otterknot/rebalance/PlannerSnapshot.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PlannerSnapshot.kt
@@ -9,16 +9,16 @@
 data class PlannerSnapshot(
     val zone: String,
     val cluster: ClusterPressure,
-    /** What waits, the most urgent first. */
+    /** Jobs with waiting tasks, the most urgent first. */
     val waiting: List<WaitingJob>,
-    /** Machines that were looked at; all of those that are being emptied, and a sample of the others. */
+    /** The examined machines: all draining ones, and a sample of the others. */
     val machines: List<MachineSnapshot>,
-    /** Of the machines in use, the share that was drawn. */
+    /** The sampled share of the machines in use, 0 to 1. */
     val sampledShare: Double,
     val running: RunningTaskCounts,
     val open: OpenMoves,
-    /** Partitions that have an owner and offer a machine type that the job may use. */
+    /** Zones whose partition has a leader and offers a machine type that the job may use. */
     val targets: (JobSpec) -> List<String>,
-    /** Core-seconds that may be thrown away now. */
+    /** Core-seconds of work that stops may throw away now. */
     val lostWorkBudgetCoreS: Double,
 )
--- a/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
@@ -8,8 +8,8 @@
 import io.otterknot.scheduling.Resources
 
 /**
- * Brings together what presses on each partition: of own partitions from their ledgers, which keep it up as things
- * change; of others from what their owners publish with their means.
+ * Gathers the pressure on each partition: of partitions led here from their own state, which is kept up to date as it
+ * changes; of others from what their leaders publish with their mean load.
  */
 class PressureTracker(
     teams: List<TeamSettings>,
@@ -26,7 +26,7 @@
         return ClusterPressure(all, terms)
     }
 
-    /** What the owner of [partition] publishes with its mean. */
+    /** What the leader of [partition] publishes with its mean load. */
     fun record(partition: Partition): PressureRecord {
         val capacity = partition.load.totalResources
         return PressureRecord(
--- a/src/main/kotlin/io/otterknot/rebalance/ReassignmentPlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/ReassignmentPlanner.kt
@@ -12,99 +12,115 @@
 
     fun plan(snapshot: PlannerSnapshot): MovePlan {
         if (snapshot.open.reassignmentInProgress) return MovePlan.EMPTY
-        val moves = ArrayList<Move>()
-        val refusals = ArrayList<MoveRefusal>()
-        val taken = HashMap<String, Double>()
-        for (job in snapshot.waiting.take(settings.examinedJobs)) {
-            if (moves.size >= settings.handOversPerPlan) {
-                refusals.add(MoveRefusal(job.team, job.spec.id, RefusalReason.TOO_MANY_MOVES))
-                continue
-            }
-            val refused = refusalReason(job)
-            if (refused != null) {
-                refusals.add(MoveRefusal(job.team, job.spec.id, refused))
-                continue
-            }
-            when (val choice = choose(job, snapshot, taken)) {
-                is Choice.Refused -> refusals.add(MoveRefusal(job.team, job.spec.id, choice.reason))
+        return PlanningRound(snapshot).plan()
+    }
+
+    private sealed interface Choice {
+        class Reassign(val move: Move.Reassignment) : Choice
+        class Refuse(val reason: RefusalReason) : Choice
+    }
+
+    /** A partition that tasks could go to, and how many weighted seconds sooner they would start there. */
+    private class Target(val zone: String, val gainS: Double)
+
+    /** The state of one plan. */
+    private inner class PlanningRound(private val snapshot: PlannerSnapshot) {
+        private val cluster = snapshot.cluster
+        private val plan = MovePlanBuilder()
+
+        /** Cores that the moves chosen so far bring to each partition; negative: take away. */
+        private val plannedCores = HashMap<String, Double>()
 
-                is Choice.Chosen -> {
-                    moves.add(choice.move)
-                    taken.merge(choice.move.target, choice.move.cores, Double::plus)
-                    taken.merge(snapshot.zone, -choice.move.cores, Double::plus)
+        fun plan(): MovePlan {
+            for (job in snapshot.waiting.take(settings.examinedJobs)) {
+                when (val choice = choose(job)) {
+                    is Choice.Refuse -> plan.refuse(job, choice.reason)
+                    is Choice.Reassign -> add(choice.move)
                 }
             }
+            return plan.build()
         }
-        return MovePlan(moves, refusals)
-    }
 
-    private fun refusalReason(job: WaitingJob): RefusalReason? {
-        val secondsSinceArrival = job.secondsSinceArrival
-        return when {
-            job.spec.zone != null -> RefusalReason.BOUND_TO_ZONE
-            job.spec.sameZone && !job.isEntirelyPending -> RefusalReason.PARTLY_PLACED
-            secondsSinceArrival != null && secondsSinceArrival < settings.returnAfterS -> RefusalReason.JUST_ARRIVED
-            else -> null
+        private fun add(move: Move.Reassignment) {
+            plan.add(move)
+            plannedCores.merge(move.target, move.cores, Double::plus)
+            plannedCores.merge(snapshot.zone, -move.cores, Double::plus)
         }
-    }
 
-    private sealed interface Choice {
-        class Chosen(val move: Move.Reassignment) : Choice
-        class Refused(val reason: RefusalReason) : Choice
-    }
+        private fun choose(job: WaitingJob): Choice {
+            if (plan.moveCount >= settings.handOversPerPlan) return Choice.Refuse(RefusalReason.TOO_MANY_MOVES)
+            refusalReason(job)?.let { return Choice.Refuse(it) }
+            val target = bestTarget(job) ?: return Choice.Refuse(RefusalReason.NO_TARGET)
+            val reason = moveReason(job, target) ?: return Choice.Refuse(RefusalReason.GAIN_TOO_SMALL)
+            return sized(job, target, reason)
+        }
 
-    /** [taken]: cores that earlier moves of this plan bring to each partition, or take away. */
-    private fun choose(job: WaitingJob, snapshot: PlannerSnapshot, taken: Map<String, Double>): Choice {
-        val spec = job.spec
-        val targets = snapshot.targets(spec).filter { it != snapshot.zone }
-        val here = place(job, snapshot.zone, snapshot, taken)
-        val best = targets.map { it to LocalityCost.gain(here, there(job, it, snapshot, taken), weights) }
-            .maxWithOrNull(compareBy<Pair<String, Double>> { it.second }.thenByDescending { it.first })
-            ?: return Choice.Refused(RefusalReason.NO_TARGET)
-        val (target, gainS) = best
-        val reason = reason(job, target, gainS, snapshot) ?: return Choice.Refused(RefusalReason.GAIN_TOO_SMALL)
-        val amount = amount(job, target, gainS, snapshot)
-        val isTooLarge = spec.sameZone && reason != MoveReason.OVERDUE && job.waitingCores > amount * 2
-        if (isTooLarge) return Choice.Refused(RefusalReason.GAIN_TOO_SMALL)
-        val cores = if (spec.sameZone) job.waitingCores else minOf(job.waitingCores, maxOf(amount, spec.cores))
-        return Choice.Chosen(Move.Reassignment(snapshot.zone, job.team, spec.id, reason, gainS, cores, target))
-    }
+        private fun bestTarget(job: WaitingJob): Target? {
+            val here = placeCost(job, snapshot.zone)
+            return snapshot.targets(job.spec)
+                .filter { it != snapshot.zone }
+                .map { zone ->
+                    val there = placeCost(job, zone).copy(moveS = settings.handOverDelayS)
+                    Target(zone, LocalityCost.gain(here, there, weights))
+                }
+                .maxWithOrNull(LARGEST_GAIN)
+        }
 
-    private fun reason(job: WaitingJob, target: String, gainS: Double, snapshot: PlannerSnapshot): MoveReason? {
-        if (gainS >= settings.marginS) return MoveReason.SHORTER_WAIT
-        val there = snapshot.cluster.partitions.getValue(target).meanFor(job.spec)
-        val here = snapshot.cluster.partitions.getValue(snapshot.zone).meanFor(job.spec)
-        // Nothing waits for long while another partition has room, however little there is to gain.
-        val isOverdue = LongWait.mayMove(job.waitedS, there) && here - there > LongWait.LEAST_GAP
-        return if (isOverdue) MoveReason.OVERDUE else null
-    }
+        /** Why [job] is worth moving to [target]; null: it is not. */
+        private fun moveReason(job: WaitingJob, target: Target): MoveReason? {
+            if (target.gainS >= settings.marginS) return MoveReason.SHORTER_WAIT
+            val meanThere = cluster.partitions.getValue(target.zone).meanFor(job.spec)
+            val meanHere = cluster.partitions.getValue(snapshot.zone).meanFor(job.spec)
+            // No task waits long while another partition has capacity, however small the gain.
+            val isOverdue = LongWait.mayMove(job.waitedS, meanThere) && meanHere - meanThere > LongWait.LEAST_GAP
+            return if (isOverdue) MoveReason.OVERDUE else null
+        }
+
+        /** Moves as many cores of [job] as equalize both waits; a `sameZone` job goes as a whole or not at all. */
+        private fun sized(job: WaitingJob, target: Target, reason: MoveReason): Choice {
+            val spec = job.spec
+            val balancingCores = balancingCores(job, target)
+            val isTooLarge = reason != MoveReason.OVERDUE && job.waitingCores > balancingCores * 2
+            if (spec.sameZone && isTooLarge) return Choice.Refuse(RefusalReason.GAIN_TOO_SMALL)
+            val partialCores = minOf(job.waitingCores, maxOf(balancingCores, spec.cores))
+            val cores = if (spec.sameZone) job.waitingCores else partialCores
+            val move = Move.Reassignment(snapshot.zone, job.team, spec.id, reason, target.gainS, cores, target.zone)
+            return Choice.Reassign(move)
+        }
+
+        /** Half of the gain, in cores of the smaller partition: both waits are then equal. */
+        private fun balancingCores(job: WaitingJob, target: Target): Double {
+            val here = cluster.partitions.getValue(snapshot.zone)
+            val there = cluster.partitions.getValue(target.zone)
+            val cores = minOf(here.coresFor(job.spec), there.coresFor(job.spec))
+            return maxOf(0.0, target.gainS) / 2 / cluster.runS(target.zone) * cores
+        }
 
-    private fun there(job: WaitingJob, zone: String, snapshot: PlannerSnapshot, taken: Map<String, Double>) =
-        place(job, zone, snapshot, taken).copy(moveS = settings.handOverDelayS)
-
-    private fun place(
-        job: WaitingJob,
-        zone: String,
-        snapshot: PlannerSnapshot,
-        taken: Map<String, Double>,
-    ): PlaceCost {
-        val spec = job.spec
-        val partition = snapshot.cluster.partitions.getValue(zone)
-        val extraS = (taken[zone] ?: 0.0) / partition.coresFor(spec) * snapshot.cluster.runS(zone)
-        val waitS = snapshot.cluster.waitS(job.team, zone, spec) + extraS
-        return PlaceCost(maxOf(0.0, waitS), partition.imageCost(spec, NOMINAL_FETCH_GB_PER_S))
+        private fun placeCost(job: WaitingJob, zone: String): PlaceCost {
+            val spec = job.spec
+            val partition = cluster.partitions.getValue(zone)
+            val extraS = (plannedCores[zone] ?: 0.0) / partition.coresFor(spec) * cluster.runS(zone)
+            val waitS = cluster.waitS(job.team, zone, spec) + extraS
+            return PlaceCost(maxOf(0.0, waitS), partition.imageCost(spec, NOMINAL_FETCH_GB_PER_S))
+        }
     }
 
-    /** Half of the difference, in cores of the smaller partition: both waits then meet, and nothing swings back. */
-    private fun amount(job: WaitingJob, target: String, gainS: Double, snapshot: PlannerSnapshot): Double {
-        val here = snapshot.cluster.partitions.getValue(snapshot.zone)
-        val there = snapshot.cluster.partitions.getValue(target)
-        val cores = minOf(here.coresFor(job.spec), there.coresFor(job.spec))
-        return maxOf(0.0, gainS) / 2 / snapshot.cluster.runS(target) * cores
+    /** Why [job] is not considered for any target; null: it is. */
+    private fun refusalReason(job: WaitingJob): RefusalReason? {
+        val sinceArrivalS = job.secondsSinceArrival
+        return when {
+            job.spec.zone != null -> RefusalReason.BOUND_TO_ZONE
+            job.spec.sameZone && !job.isEntirelyPending -> RefusalReason.PARTLY_PLACED
+            sinceArrivalS != null && sinceArrivalS < settings.returnAfterS -> RefusalReason.JUST_ARRIVED
+            else -> null
+        }
     }
 
     private companion object {
         /** Partitions publish no rates; machine types differ little in theirs. */
         const val NOMINAL_FETCH_GB_PER_S = 1.0
+
+        /** Of equal gains, the first zone by name. */
+        val LARGEST_GAIN = compareBy<Target> { it.gainS }.thenByDescending { it.zone }
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/WaitCause.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCause.kt
@@ -3,18 +3,18 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Where the wait of a task arises. */
+/** Why a task waits. */
 @Serializable
 enum class WaitCause {
-    /** An earlier owner may have started it. */
+    /** An earlier leader may have started it. */
     @SerialName("doubt")
     IN_DOUBT,
 
-    /** It is on its way to another partition, until that change is durable. */
+    /** It is being reassigned to another partition, until that change is durable. */
     @SerialName("handover")
     REASSIGNMENT,
 
-    /** The team's allotment in this partition, or the job's own spread over zones, is used up. */
+    /** The team's quota share in this partition, or the job's own spread over zones, is used up. */
     @SerialName("limit")
     QUOTA_LIMIT,
 
@@ -22,27 +22,27 @@
     @SerialName("retry")
     RETRY_BACKOFF,
 
-    /** Some machine has room, which is held for other work or which a machine that is not usable yet has. */
+    /** Some machine has free capacity, but it is reserved for other work or the machine is not usable yet. */
     @SerialName("held room")
     CAPACITY_RESERVED,
 
-    /** There is no room here, but another partition has some. */
+    /** There is no free capacity here, but another partition has some. */
     @SerialName("room elsewhere")
     CAPACITY_ELSEWHERE,
 
-    /** There is no room, and other teams use more of the partition than they are due. */
+    /** There is no free capacity, and other teams use more than their fair share. */
     @SerialName("other teams above their share")
     TEAMS_ABOVE_FAIR_SHARE,
 
-    /** There is no room, and nobody uses more than is due: only more machines would help. */
+    /** There is no free capacity, and no team exceeds its fair share: only more machines would help. */
     @SerialName("no room")
     NO_CAPACITY,
 
-    /** It has a machine, and waits for that machine's report or for the answer to arrive. */
+    /** It is assigned to a machine, and waits for its heartbeat or for the response to arrive. */
     @SerialName("report")
     AWAITING_HEARTBEAT,
 
-    /** It has a machine, and waits for its image. */
+    /** It is assigned to a machine, and its image is being fetched. */
     @SerialName("image")
     IMAGE_FETCH,
 }
--- a/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
@@ -5,7 +5,7 @@
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
 
-/** Tells, by team and cause, how many tasks of a partition wait now. */
+/** Counts the waiting tasks of a partition by team and cause. */
 class WaitCauses(private val examinedJobs: Int) {
     /** How many tasks of each team wait because of each cause. */
     fun count(partition: Partition, cluster: ClusterPressure, now: Long): Map<String, Map<WaitCause, Int>> {
