--- a/src/main/kotlin/io/otterknot/autoscaling/LedPartitions.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/LedPartitions.kt
@@ -11,7 +11,7 @@
     operator fun get(zone: String): Partition? = byZone[zone]
 
     /** Whether this controller, within its fence, is the leader that [partition] was made for. */
-    fun mayActFor(partition: Partition): Boolean = leadership.token(partition.zone) == partition.fencingToken
+    fun mayActFor(partition: Partition): Boolean = leadership.mayActFor(partition)
 
     /** Whether this controller has acquired [zone] and not lost it, also while it may not act. */
     fun hasAcquired(zone: String): Boolean = leadership.acquiredToken(zone) != null
--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -15,17 +15,24 @@
 import io.otterknot.http.HttpResponse
 import io.otterknot.jobs.JobTable
 import io.otterknot.leadership.FencedTransactions
+import io.otterknot.leadership.LeadershipAcquisition
+import io.otterknot.leadership.LeadershipHost
+import io.otterknot.leadership.LeadershipListener
+import io.otterknot.leadership.LeadershipSettings
 import io.otterknot.leadership.PartitionLeadership
-import io.otterknot.leadership.leaseTtlMs
+import io.otterknot.leadership.storeLeaseTtlMs
 import io.otterknot.metrics.Metrics
 import io.otterknot.partition.Partition
 import io.otterknot.peer.IdlePartitionAnnouncer
 import io.otterknot.peer.IdlePartitions
 import io.otterknot.peer.PeerMessage
 import io.otterknot.quota.QuotaShares
+import io.otterknot.quota.QuotaTransfers
 import io.otterknot.ratelimit.RateLimiter
+import io.otterknot.reassignment.ReassignmentConstraints
+import io.otterknot.reassignment.ReassignmentTargets
+import io.otterknot.reassignment.ReassignmentTransactions
 import io.otterknot.reassignment.TaskReassigner
-import io.otterknot.reassignment.TaskReassignment
 import io.otterknot.rebalance.LoadSpread
 import io.otterknot.rebalance.MoveKind
 import io.otterknot.rebalance.MoveState
@@ -33,6 +40,7 @@
 import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.scheduling.objectivesByJobClass
 import io.otterknot.store.BatchWriter
+import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.coroutineScope
 import kotlin.random.Random
 
@@ -69,32 +77,24 @@
     private val machines = RegisteredMachines(store.replica)
 
     private val leadership: PartitionLeadership = PartitionLeadership(
-        settings.label,
-        site.zones,
-        domains = settings.members.associate { it.label to it.domain } + (settings.label to settings.domain),
+        LeadershipSettings(
+            settings.label,
+            site.zones,
+            domains = settings.members.associate { it.label to it.domain } + (settings.label to settings.domain),
+            storeLeaseTtlMs(site.workers.leaseS, site.workers.cancelS),
+        ),
         store.client,
         store.replica,
-        leaseTtlMs(site.workers.leaseS, site.workers.cancelS),
+        LeadershipSurroundings(),
+        ActivationListener(),
         nowMs,
         random,
-        machines = { machines.typesByMachine(it).keys },
-        onClaim = { zone, token, overriding -> activator.enqueue(AcquiredPartition(zone, token, overriding)) },
-        onLoss = { activator.deactivate(it) },
-        mayClaim = { catalog.types != null },
     )
     private val fencedTransactions =
         FencedTransactions(store.client, store.replica, leadership, partitions, store.limits, random)
-    private val quotaShares = QuotaShares(
-        fencedTransactions,
-        store.replica,
-        leadership,
-        partitions,
-        views,
-        store.limits,
-        site.teams,
-        site.zones,
-        random,
-    )
+    private val quotaShares = QuotaShares(store.replica, partitions, site.teams, site.zones)
+    private val quotaTransfers =
+        QuotaTransfers(quotaShares, fencedTransactions, leadership, partitions, views, store.limits, random)
     private val activator: PartitionActivator = PartitionActivator(
         partitions,
         leadership,
@@ -116,8 +116,8 @@
     )
     private val machineTypeRecorder = MachineTypeRecorder(store.access, catalog)
 
-    private val reassignment = TaskReassignment(fencedTransactions, store.limits)
-    private val loadSpread = LoadSpread(
+    private val reassignment = ReassignmentTransactions(fencedTransactions, store.limits)
+    private val loadSpread: LoadSpread = LoadSpread(
         ControllerLoadSpreadHost(partitions, views, site.teams, jobs, leadership, catalog, store.health),
         reassignment,
         { operatorSettings().loadSpread },
@@ -127,14 +127,12 @@
     )
     private val reassigner = TaskReassigner(
         reassignment,
+        ReassignmentTargets(views, leadership, LoadSpreadConstraints()),
         leadership,
         partitions,
-        views,
-        catalog::offers,
         nowMs,
         wallMs,
         random,
-        isDecidedElsewhere = loadSpread::decidesReassignments,
     )
 
     private val limitedTeams = site.teams.filter { it.cpusMax > 0 || it.gpusMax > 0 }.map { it.name }
@@ -192,9 +190,9 @@
         tasks.start("autoscaler") { autoscaler.scaleContinuously() }
         tasks.start("cloud-inventory") { autoscaler.inspectContinuously() }
         tasks.start("state-writer") { stateWriter.run() }
-        tasks.start("task-reassigner") { reassigner.balance() }
+        tasks.start("task-reassigner") { reassigner.run() }
         tasks.start("load-spread") { loadSpread.run() }
-        tasks.start("quota-shares") { quotaShares.share() }
+        tasks.start("quota-shares") { quotaTransfers.run() }
         tasks.start("idle-partition-announcer") { idlePartitionAnnouncer.announceContinuously() }
         tasks.start("leadership-requester") { leadershipRequester.run() }
         tasks.start("partition-sweeper") { sweeper.run() }
@@ -209,6 +207,21 @@
     /** Answers a request of another controller. */
     suspend fun handlePeerRequest(request: PeerMessage): PeerMessage = peerRequests.handle(request)
 
+    private inner class LeadershipSurroundings : LeadershipHost {
+        override val canServePartitions get() = catalog.types != null
+        override fun registeredMachines(zone: String) = machines.typesByMachine(zone).keys
+    }
+
+    private inner class ActivationListener : LeadershipListener {
+        override fun leadershipAcquired(acquisition: LeadershipAcquisition) = activator.enqueue(acquisition)
+        override fun leadershipLost(zone: String) = activator.deactivate(zone)
+    }
+
+    private inner class LoadSpreadConstraints : ReassignmentConstraints {
+        override fun offers(zone: String, spec: JobSpec) = catalog.offers(zone, spec)
+        override fun isDecidedElsewhere(zone: String) = loadSpread.decidesReassignments(zone)
+    }
+
     /** How many moves of load spread have ended in each state, by kind, in the partitions led now. */
     fun moveEnds(): Map<Pair<MoveKind, MoveState>, Int> = loadSpread.endedMoveCounts()
 }
--- a/src/main/kotlin/io/otterknot/controller/ControllerLoadSpreadHost.kt
+++ b/src/main/kotlin/io/otterknot/controller/ControllerLoadSpreadHost.kt
@@ -24,7 +24,7 @@
     override val liveJobs: Collection<Job> get() = jobs.activeJobs
     override val isStoreAvailable: Boolean get() = storeHealth.isAnswering
 
-    override fun mayActFor(partition: Partition): Boolean = leadership.token(partition.zone) == partition.fencingToken
+    override fun mayActFor(partition: Partition): Boolean = leadership.mayActFor(partition)
 
     override fun hasLeader(zone: String): Boolean = leadership.leaderOf(zone) != null
 
--- a/src/main/kotlin/io/otterknot/controller/LeadershipRequester.kt
+++ b/src/main/kotlin/io/otterknot/controller/LeadershipRequester.kt
@@ -20,9 +20,9 @@
     suspend fun run() {
         while (true) {
             delay(PERIOD_MS + random.nextLong(PERIOD_MS))
-            val (zone, leader) = leadership.wanted() ?: continue
-            val request = PeerMessage.TransferLeadership(zone, leadership.ledPartitionCount)
-            peers[leader]?.call(request, PEER_RESPONSE_TIMEOUT_MS)
+            val request = leadership.nextTransferRequest() ?: continue
+            val message = PeerMessage.TransferLeadership(request.zone, leadership.ledPartitionCount)
+            peers[request.leader]?.call(message, PEER_RESPONSE_TIMEOUT_MS)
         }
     }
 
--- a/src/main/kotlin/io/otterknot/controller/PartitionActivator.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionActivator.kt
@@ -1,6 +1,7 @@
 package io.otterknot.controller
 
 import io.otterknot.jobs.JobTable
+import io.otterknot.leadership.LeadershipAcquisition
 import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.partition.Partition
 import io.otterknot.store.StoreReplica
@@ -21,10 +22,10 @@
     private val factory: PartitionFactory,
 ) {
     private val log = LoggerFactory.getLogger(PartitionActivator::class.java)
-    private val queue = ArrayList<AcquiredPartition>()
+    private val queue = ArrayList<LeadershipAcquisition>()
 
     /** The leadership of a partition has been acquired. */
-    fun enqueue(acquired: AcquiredPartition) {
+    fun enqueue(acquired: LeadershipAcquisition) {
         queue += acquired
     }
 
@@ -40,12 +41,12 @@
         due.forEach(::activate)
     }
 
-    private fun activate(acquired: AcquiredPartition) {
+    private fun activate(acquired: LeadershipAcquisition) {
         val zone = acquired.zone
         val isLostMeanwhile = leadership.acquiredToken(zone) != acquired.fencingToken
         if (isLostMeanwhile) return
         val registeredMachines = machines.typesByMachine(zone)
-        val priorLeaderUntilMs = leadership.takeoverMarkers.othersUntilMs(zone, acquired.isForcedTakeover)
+        val priorLeaderUntilMs = leadership.takeoverMarkers.priorLeaderUntilMs(zone, acquired.isForcedTakeover)
         val partition = factory.create(acquired, priorLeaderUntilMs, registeredMachines)
         jobs.activeJobs.forEach { partition.updateJob(it, inherited = true) }
         partitions[zone] = partition
@@ -58,11 +59,3 @@
         )
     }
 }
-
-/** A partition whose leadership this controller has acquired under [fencingToken]. */
-class AcquiredPartition(
-    val zone: String,
-    val fencingToken: Long,
-    /** The leader before may still act, until its fence ends. */
-    val isForcedTakeover: Boolean,
-)
--- a/src/main/kotlin/io/otterknot/controller/PartitionFactory.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionFactory.kt
@@ -3,6 +3,7 @@
 import io.otterknot.autoscaling.MachineTypeCatalog
 import io.otterknot.config.SiteSettings
 import io.otterknot.config.TeamSettings
+import io.otterknot.leadership.LeadershipAcquisition
 import io.otterknot.partition.LeadershipTerm
 import io.otterknot.partition.LeaseTimings
 import io.otterknot.partition.Partition
@@ -28,7 +29,7 @@
      * name, the types of the machines that may hold tasks.
      */
     fun create(
-        acquired: AcquiredPartition,
+        acquired: LeadershipAcquisition,
         priorLeaderUntilMs: Long,
         registeredMachines: Map<String, String>,
     ): Partition = Partition(
--- a/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
@@ -34,7 +34,7 @@
         }
         // The fence is checked after the heartbeat has arrived, so that the worker's lease, which counts from when the
         // heartbeat was sent, starts before the fence was seen to hold.
-        val fencingToken = leadership.token(heartbeat.zone) ?: return redirect(heartbeat)
+        val fencingToken = leadership.actingToken(heartbeat.zone) ?: return redirect(heartbeat)
         return respondAsLeader(heartbeat, fencingToken)
     }
 
@@ -62,7 +62,7 @@
         val leader = leadership.leaderOf(zone)
         if (leader == null || leader == label) return unavailable("nobody may act for $zone at the moment")
         leadership.workerRedirected(zone, heartbeat.machine, heartbeat.fencingToken)
-        if (leadership.suspectsLeader(zone)) return unavailable("$leader seems not to answer the workers of $zone")
+        if (leadership.isLeaderSuspected(zone)) return unavailable("$leader seems not to answer the workers of $zone")
         return HttpResponse.json(HttpStatus.MISDIRECTED_REQUEST, LeaderRedirect.serializer(), LeaderRedirect(leader))
     }
 
--- a/src/main/kotlin/io/otterknot/leadership/Fence.kt
+++ b/src/main/kotlin/io/otterknot/leadership/Fence.kt
@@ -1,42 +1,34 @@
 package io.otterknot.leadership
 
 /**
- * Until when this node may act as an owner, by its own steady clock. It counts from the moment a good renewal was
- * *sent*: the state service cannot have started the lease's time before that, so its end here comes first.
+ * Until when this controller may act as a leader, by its own steady clock.
+ *
+ * Keeps "nobody else owns the partition before the fence ends" (`docs/design.md`, "One owner at a time"): the time is
+ * counted from the moment at which a successful renewal was *sent*. The store cannot have started the lease's time to
+ * live before that moment, so the fence ends before the lease does, whatever the drift of both clocks.
+ *
+ * @property leaseTtlMs time to live of the store lease that the fence stands for
  */
-class Fence(private val ttlMs: Long) {
-    var goodUntilMs = Long.MIN_VALUE
-        private set
+class Fence(val leaseTtlMs: Long) {
+    private var validUntilMs = Long.MIN_VALUE
 
-    fun renewed(sentMs: Long) {
-        goodUntilMs = maxOf(goodUntilMs, sentMs + ttlMs - ttlMs / 500 - MARGIN_MS)
+    /** A renewal sent at [renewalSentMs] succeeded. An older renewal than the last one takes nothing back. */
+    fun extend(renewalSentMs: Long) {
+        validUntilMs = maxOf(validUntilMs, renewalSentMs + leaseTtlMs - leaseTtlMs / DRIFT_DIVISOR - MARGIN_MS)
     }
 
-    fun lost() {
-        goodUntilMs = Long.MIN_VALUE
+    /** The lease is gone: nothing may be done on it from now on. */
+    fun revoke() {
+        validUntilMs = Long.MIN_VALUE
     }
 
-    fun holds(nowMs: Long): Boolean = nowMs < goodUntilMs
+    fun isValid(nowMs: Long): Boolean = nowMs < validUntilMs
 
     private companion object {
+        /** One part in so many of the time to live, 0.2 %, is taken off for clocks that run at different speeds. */
+        const val DRIFT_DIVISOR = 500
+
+        /** Taken off besides; the bound on cancelled tasks in `docs/design.md` counts on it. */
         const val MARGIN_MS = 500L
     }
 }
-
-/**
- * The time to live of an owner's lease: long enough to ride out an outage of the state service, and short enough that
- * an owner that is cut off from it stops, and its workers' leases end, before a cancelled task must be gone.
- */
-fun leaseTtlMs(leaseS: Double, cancelS: Double): Long =
-    ((cancelS - leaseS - TAKE_OVER_MARGIN_S) * 1000).toLong().coerceIn(2_000L, 30_000L)
-
-private const val TAKE_OVER_MARGIN_S = 3.0
-
-/** The order in which nodes take an unowned partition: nodes of its zone first, then the others, turned by the zone. */
-fun claimRank(zone: String, zones: List<String>, self: String, domains: Map<String, String>): Int {
-    val home = domains.filterValues { it == zone }.keys.sorted()
-    val others = (domains.keys - home.toSet()).sorted()
-    val turn = if (others.isEmpty()) 0 else zones.sorted().indexOf(zone).coerceAtLeast(0) % others.size
-    val order = home + others.drop(turn) + others.take(turn)
-    return order.indexOf(self).coerceAtLeast(0)
-}
--- a/src/main/kotlin/io/otterknot/leadership/LeaderFailureDetector.kt
+++ b/src/main/kotlin/io/otterknot/leadership/LeaderFailureDetector.kt
@@ -4,69 +4,80 @@
 import kotlin.random.Random
 
 /**
- * Judges by the workers that come to this node whether the owners of other partitions still answer theirs.
- * [machineCount] is the number of machines registered in a zone, [nodes] the number of all nodes.
+ * Judges by the workers that report to this controller whether the leaders of other partitions still answer theirs.
+ * Nothing rests on its being right: a leader that is taken over by mistake stops by its own fence.
+ *
+ * @param controllerCount the number of all controllers of the site
+ * @param machineCount the number of machines registered in a zone
  */
 class LeaderFailureDetector(
-    private val nodes: Int,
+    private val controllerCount: Int,
     private val random: Random,
     private val machineCount: (zone: String) -> Int,
 ) {
-    private val misdirected = RedirectedWorkers()
-    private val changedMs = HashMap<String, Long>()
-    private val suspectedSinceMs = HashMap<String, Long>()
+    private val redirectedWorkers = RedirectedWorkers()
+    private val lastLeaderChangeMs = HashMap<String, Long>()
 
-    /** A worker is sent to the owner of its partition; [leftOwner]: it had been with that owner before. */
-    fun sent(zone: String, machine: String, leftOwner: Boolean, now: Long) =
-        misdirected.sent(zone, machine, now, leftOwner)
+    /** Since when the leader of a zone counts as failed, with some jitter so that controllers differ. */
+    private val failedSinceMs = HashMap<String, Long>()
 
-    /** The partition has got another owner, or none. */
-    fun ownerChanged(zone: String, now: Long) {
-        suspectedSinceMs.remove(zone)
-        misdirected.forget(zone)
-        changedMs[zone] = now
+    /** A worker is redirected to its leader; [hasLeftLeader]: it had been with that leader before. */
+    fun workerRedirected(zone: String, machine: String, hasLeftLeader: Boolean, nowMs: Long) =
+        redirectedWorkers.workerRedirected(zone, machine, hasLeftLeader, nowMs)
+
+    /** The partition of [zone] has another leader now, or none. */
+    fun leaderChanged(zone: String, nowMs: Long) {
+        failedSinceMs.remove(zone)
+        redirectedWorkers.clear(zone)
+        lastLeaderChangeMs[zone] = nowMs
     }
 
-    /** Whether the owner seems not to answer: a worker sent there would wait in vain while its lease runs. */
-    fun isDoubtful(zone: String, now: Long): Boolean =
-        isSettled(zone, now) && misdirected.left(zone, now) > manyLeft(zone) / 2
+    /** Whether the leader seems not to answer: a worker redirected there would wait in vain while its lease runs. */
+    fun isLeaderSuspected(zone: String, nowMs: Long): Boolean =
+        isSettled(zone, nowMs) && redirectedWorkers.departureCount(zone, nowMs) > failureDepartures(zone) / 2
 
     /**
-     * Whether the partition may be claimed from its owner, whose workers come here. Of the nodes that see this, one
-     * with fewer partitions, [owned], is first. Soon after a change of owner some are on their way still, and late
-     * copies of reports come to where the owner was.
+     * Whether the partition may be taken over from its leader, whose workers report here. Of the controllers that see
+     * this, one that leads fewer partitions ([ledPartitionCount]) is first. Soon after a change of leader only workers
+     * that returned count: others are on their way still, and late copies of reports reach the leader before.
      */
-    fun isAbandoned(zone: String, owned: Int, now: Long): Boolean {
-        val left = isSettled(zone, now) && misdirected.left(zone, now) >= manyLeft(zone)
-        val fewReturned = misdirected.count(zone, now) < minOf(FEW_MISDIRECTED, maxOf(1, machineCount(zone) / 2))
-        if (!left && fewReturned) {
-            suspectedSinceMs.remove(zone)
+    fun isLeaderFailed(zone: String, ledPartitionCount: Int, nowMs: Long): Boolean {
+        if (!haveManyDeparted(zone, nowMs) && !haveManyReturned(zone, nowMs)) {
+            failedSinceMs.remove(zone)
             return false
         }
-        val since = suspectedSinceMs.getOrPut(zone) { now + random.nextLong(JITTER_MS) }
-        return now - since >= owned * WAIT_FOR_EACH_OWNED_MS
+        val sinceMs = failedSinceMs.getOrPut(zone) { nowMs + random.nextLong(JITTER_MS) }
+        return nowMs - sinceMs >= ledPartitionCount * DELAY_PER_LED_PARTITION_MS
     }
 
-    private fun isSettled(zone: String, now: Long) = now - (changedMs[zone] ?: now) > SETTLED_MS
+    private fun haveManyDeparted(zone: String, nowMs: Long): Boolean =
+        isSettled(zone, nowMs) && redirectedWorkers.departureCount(zone, nowMs) >= failureDepartures(zone)
+
+    private fun haveManyReturned(zone: String, nowMs: Long): Boolean =
+        redirectedWorkers.returnCount(zone, nowMs) >= minOf(MIN_REDIRECTED, maxOf(1, machineCount(zone) / 2))
+
+    /** Whether the last change of leader is so long ago that no worker is on its way because of it. */
+    private fun isSettled(zone: String, nowMs: Long): Boolean =
+        nowMs - (lastLeaderChangeMs[zone] ?: nowMs) > SETTLING_MS
 
-    /** That so many have left their owner is not the machines' doing. */
-    private fun manyLeft(zone: String) = manyMisdirected(machineCount(zone), nodes)
+    private fun failureDepartures(zone: String): Int = departuresOfFailure(machineCount(zone), controllerCount)
 
     private companion object {
-        const val SETTLED_MS = 20_000L
+        const val SETTLING_MS = 20_000L
         const val JITTER_MS = 200L
-        const val WAIT_FOR_EACH_OWNED_MS = 300L
+        const val DELAY_PER_LED_PARTITION_MS = 300L
     }
 }
 
 /**
- * How many machines must have left their owner, as one other node sees it, before their number alone speaks against the
- * owner. When it has crashed all of them leave, a like share to each other node; but machines that hang and go on leave
- * it too, and of a large partition many may do so at a time: a fixed number would have its partitions claimed from a
- * sound owner.
+ * How many machines must have left their leader, as one other controller sees it, before their number alone speaks
+ * against the leader. When it has crashed all of its [machines] leave, a like share to each other of the [controllers];
+ * but machines that hang and go on leave it too, and of a large partition many may do so at a time: a fixed number would
+ * have its partitions taken over from a sound leader.
  */
-fun manyMisdirected(machines: Int, nodes: Int): Int =
-    maxOf(FEW_MISDIRECTED, ceil(machines * MISDIRECTED_SHARE / maxOf(1, nodes - 1)).toInt())
+fun departuresOfFailure(machines: Int, controllers: Int): Int =
+    maxOf(MIN_REDIRECTED, ceil(machines * DEPARTED_SHARE / maxOf(1, controllers - 1)).toInt())
 
-private const val FEW_MISDIRECTED = 3
-private const val MISDIRECTED_SHARE = 0.3
+/** So many machines at least must have left or returned; of a small partition half of them must have returned. */
+private const val MIN_REDIRECTED = 3
+private const val DEPARTED_SHARE = 0.3
--- a/src/main/kotlin/io/otterknot/leadership/TakeoverMarkers.kt
+++ b/src/main/kotlin/io/otterknot/leadership/TakeoverMarkers.kt
@@ -1,22 +1,28 @@
 package io.otterknot.leadership
 
 /**
- * The marks that some partition was claimed from an owner which may still act, and until when it may: its fence was
- * moved last before that claim, and ends [ttlMs] later at most. A claim that came through late, and a claimant that
- * ended at once, leave the mark, and it counts from when this node saw it.
+ * The markers of forced takeovers, and until when the leaders that were taken over may still act.
+ *
+ * Such a leader last moved its fence before the takeover, so the fence ends [leaseTtlMs] after it at the latest. An
+ * acquisition that came through late, and a new leader that ended at once, leave the marker; it counts from when this
+ * controller saw it (`docs/design.md`, "A silent owner's partitions are claimed at once").
  */
-class TakeoverMarkers(private val ttlMs: Long, private val nowMs: () -> Long) {
-    private val seenMs = HashMap<String, Long>()
+class TakeoverMarkers(private val leaseTtlMs: Long, private val nowMs: () -> Long) {
+    private val markerSeenMs = HashMap<String, Long>()
 
-    /** The replica shows that the mark of [zone] has come or gone. */
-    fun changed(zone: String, present: Boolean) {
-        if (present) seenMs[zone] = nowMs() else seenMs.remove(zone)
+    /** The replica shows that the marker of [zone] was put or removed. */
+    fun markerChanged(zone: String, isPresent: Boolean) {
+        if (isPresent) markerSeenMs[zone] = nowMs() else markerSeenMs.remove(zone)
     }
 
-    /** Until when an earlier owner of [zone] may still act; [overriding]: it has just been claimed from one. */
-    fun othersUntilMs(zone: String, overriding: Boolean): Long {
+    /**
+     * Until when an earlier leader of [zone] may still act, by this controller's clock; the present time if none may.
+     *
+     * @param isForcedTakeover whether the partition has just been taken over from such a leader
+     */
+    fun priorLeaderUntilMs(zone: String, isForcedTakeover: Boolean): Long {
         val now = nowMs()
-        val claimedFromOwner = if (overriding) now else seenMs[zone] ?: return now
-        return maxOf(now, claimedFromOwner + ttlMs)
+        val takenOverMs = if (isForcedTakeover) now else markerSeenMs[zone] ?: return now
+        return maxOf(now, takenOverMs + leaseTtlMs)
     }
 }
--- a/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
+++ b/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
@@ -1,104 +1,76 @@
 package io.otterknot.quota
 
 import io.otterknot.config.TeamSettings
-import io.otterknot.leadership.FencedTransactions
-import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.partition.Partition
 import io.otterknot.records.QuotaAmount
 import io.otterknot.records.QuotaSharesRecord
 import io.otterknot.records.StoreKeys
 import io.otterknot.records.decodeRecord
-import io.otterknot.records.encodeRecord
-import io.otterknot.scheduling.PartitionView
-import io.otterknot.store.CompareAndSwap
 import io.otterknot.store.Snapshot
 import io.otterknot.store.StoreReplica
-import io.otterknot.store.WriteLimits
-import kotlinx.coroutines.delay
-import org.slf4j.LoggerFactory
-import kotlin.random.Random
 
 /**
- * Divides each team's limit among the partitions. Only the giver lowers its allotment: it stops using what it gives
- * before it asks for the transaction, so at no moment can the partitions together use more than the limit.
+ * How each team's quota limit is divided among the partitions, as the replica shows it. The shares of a team add up to
+ * its limit at any time; they change only by [QuotaTransfers].
  */
 class QuotaShares(
-    private val txn: FencedTransactions,
     private val replica: StoreReplica,
-    private val ownership: PartitionLeadership,
     private val partitions: Map<String, Partition>,
-    private val views: Map<String, PartitionView>,
-    private val limits: WriteLimits,
     private val teams: List<TeamSettings>,
     private val zones: List<String>,
-    private val random: Random,
 ) {
-    private val log = LoggerFactory.getLogger(QuotaShares::class.java)
+    /** Shares from which an amount is being transferred with an unknown outcome: they stay lowered meanwhile. */
+    private val lowered = HashSet<ShareKey>()
 
-    /** Parts and teams with a gift whose outcome is not known: their allotment stays lowered meanwhile. */
-    private val giving = HashSet<Pair<String, String>>()
+    private data class ShareKey(val zone: String, val team: String)
 
-    fun of(team: String): QuotaSharesRecord = snapshot(team).value ?: even(team)
+    /** The names of the teams that have a limit at all. */
+    val limitedTeams: List<String> = teams.filter { it.cpusMax > 0 || it.gpusMax > 0 }.map { it.name }
 
-    private fun snapshot(team: String): Snapshot<QuotaSharesRecord> =
-        replica.snapshot(StoreKeys.quotaShares(team)).map { decodeRecord(QuotaSharesRecord.serializer(), it) }
+    /** The shares of [team], a team of the settings, by zone. */
+    fun of(team: String): QuotaSharesRecord = snapshot(team).value ?: evenShares(team)
 
-    /** What holds until something has been given. */
-    private fun even(team: String): QuotaSharesRecord =
-        teams.first { it.name == team }.let { QuotaSharesRecord.even(zones, it.cpusMax, it.gpusMax) }
+    /** The stored shares of [team]; without a value until something has been transferred. */
+    fun snapshot(team: String): Snapshot<QuotaSharesRecord> =
+        replica.snapshot(StoreKeys.quotaShares(team)).map { decodeRecord(QuotaSharesRecord.serializer(), it) }
 
-    fun changed(team: String) {
+    /** The replica shows another division of the limit of [team]: the partitions led here take their shares over. */
+    fun sharesChanged(team: String) {
         if (teams.none { it.name == team }) return
-        val record = of(team)
+        val shares = of(team)
         for (partition in partitions.values) {
-            if (partition.zone to team !in
-                giving
-            ) {
-                partition.quota.setShare(team, record.byZone[partition.zone] ?: QuotaAmount())
-            }
+            if (ShareKey(partition.zone, team) in lowered) continue
+            partition.quota.setShare(team, shares.byZone[partition.zone] ?: QuotaAmount())
         }
     }
 
-    suspend fun share() {
-        while (true) {
-            delay(EVERY_MS + random.nextLong(500))
-            for (partition in partitions.values.toList()) {
-                for (team in teams) if (team.cpusMax > 0 || team.gpusMax > 0) consider(partition, team.name)
-            }
-        }
-    }
-
-    private suspend fun consider(partition: Partition, team: String) {
-        if (ownership.token(partition.zone) != partition.fencingToken || !partition.reconciled) return
-        val receiver = views.values.firstOrNull { it.zone != partition.zone && team in it.needs } ?: return
-        val need = receiver.needs.getValue(team)
-        val to = receiver.zone
-        val spare = partition.quota.spare(team, to)
-        val amount = QuotaAmount(minOf(spare.cores, need.cores), minOf(spare.cards, need.cards))
-        if (amount.cores < LEAST && amount.cards < LEAST) return
-        give(partition, team, to, amount)
-    }
-
-    private suspend fun give(partition: Partition, team: String, to: String, amount: QuotaAmount) {
-        val stored = snapshot(team)
-        val record = stored.value ?: even(team)
-        val mine = record.byZone[partition.zone] ?: return
-        val value = encodeRecord(QuotaSharesRecord.serializer(), record.transferred(partition.zone, to, amount))
-        val change = CompareAndSwap.put(stored, value)
-        if (!limits.fits(change)) return
-        giving.add(partition.zone to team)
-        partition.quota.setShare(team, mine - amount)
+    /**
+     * Runs [transfer] with the share of [team] in [partition] lowered to [remaining], whatever the replica shows
+     * meanwhile, and then sets the share to what the replica shows.
+     *
+     * The giver stops using what it gives before it asks for the transaction, so at no moment can the partitions
+     * together use more than the limit ("Team limits" in `docs/design.md`).
+     */
+    suspend fun whileLowered(
+        partition: Partition,
+        team: String,
+        remaining: QuotaAmount,
+        transfer: suspend () -> Unit,
+    ) {
+        val share = ShareKey(partition.zone, team)
+        lowered.add(share)
+        partition.quota.setShare(team, remaining)
         try {
-            val settled = txn.settle(partition, change)
-            log.info("{} gives {} of {} to {}: {}", partition.zone, amount, team, to, settled)
+            transfer()
         } finally {
-            giving.remove(partition.zone to team)
-            changed(team)
+            lowered.remove(share)
+            sharesChanged(team)
         }
     }
 
-    private companion object {
-        const val EVERY_MS = 1_000L
-        const val LEAST = 1e-3
+    /** What holds until something has been transferred. */
+    private fun evenShares(team: String): QuotaSharesRecord {
+        val settings = teams.first { it.name == team }
+        return QuotaSharesRecord.even(zones, settings.cpusMax, settings.gpusMax)
     }
 }
--- a/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
@@ -3,86 +3,96 @@
 import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.partition.Partition
 import io.otterknot.scheduling.LongWait
+import io.otterknot.scheduling.PartitionJob
 import io.otterknot.scheduling.PartitionView
-import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.delay
+import java.util.BitSet
 import kotlin.random.Random
 
-/** Moves tasks that wait in a partition to one with a lower mean. The owner of the partition that gives does it. */
+/**
+ * Reassigns tasks that wait in a partition to one with a lower mean load. The leader of the giving partition does it.
+ *
+ * @param nowMs the steady clock, which orders jobs
+ * @param wallMs the wall clock, which says for how long they have waited
+ */
 class TaskReassigner(
-    private val transfer: TaskReassignment,
-    private val ownership: PartitionLeadership,
+    private val transactions: ReassignmentTransactions,
+    private val targets: ReassignmentTargets,
+    private val leadership: PartitionLeadership,
     private val partitions: Map<String, Partition>,
-    private val views: Map<String, PartitionView>,
-    private val offers: (zone: String, spec: JobSpec) -> Boolean,
     private val nowMs: () -> Long,
     private val wallMs: () -> Long,
     private val random: Random,
-    /** Somebody else decides what this partition hands over. */
-    private val isDecidedElsewhere: (zone: String) -> Boolean = { false },
 ) {
-    suspend fun balance() {
+    /** Looks for reassignments to make until cancelled. */
+    suspend fun run() {
         while (true) {
-            delay(EVERY_MS + random.nextLong(400))
+            delay(PERIOD_MS + random.nextLong(PERIOD_JITTER_MS))
             for (partition in partitions.values.toList()) {
-                if (!isDecidedElsewhere(partition.zone)) give(partition)
+                if (!targets.isDecidedElsewhere(partition.zone)) reassignFrom(partition)
             }
         }
     }
 
-    private suspend fun give(partition: Partition) {
-        if (ownership.token(partition.zone) != partition.fencingToken || !partition.reconciled) return
-        var moves = 0
-        var means = Means(partition)
-        for (held in partition.pendingJobsInOrder(nowMs())) {
-            if (moves >= MOVES) return
-            val spec = held.spec
-            if (held.finished || spec.zone != null || held.pending.isEmpty) continue
-            // All of such a job is in one zone: it moves as a whole or not at all.
-            if (spec.sameZone && !held.allTasksPending) continue
-            val target = target(partition, spec) ?: return
-            val gap = means.mean(spec) - target.meanFor(spec)
-            val long = LongWait.mayMove((wallMs() - held.readyMs) / 1000.0, target.meanFor(spec))
-            if (gap < if (long) LongWait.LEAST_GAP else MIN_GAP) continue
-            // Half of the gap, in cores of the smaller partition: both means then meet, and nothing swings back.
-            val theirs = if (spec.spot) target.cores else target.ordinaryCores
-            val amount = gap / 2 * minOf(maxOf(means.cores(spec), 1.0), maxOf(theirs, 1.0))
-            if (spec.sameZone && !long && held.pendingCores > amount * 2) continue
-            val tasks = partition.reserveForReassignment(
-                held,
-                if (spec.sameZone) Double.MAX_VALUE else maxOf(amount, spec.cores),
-            )
-            if (tasks.isEmpty) continue
-            moves++
-            target.raise(spec, tasks.cardinality())
-            if (transfer.transfer(partition, held, tasks, target.zone) ==
-                TaskReassignment.Outcome.PARTITION_LOST
-            ) {
-                return
-            }
-            means = Means(partition)
+    /** Reassigns tasks of the most urgent jobs of [partition] for which that is worth while. */
+    private suspend fun reassignFrom(partition: Partition) {
+        if (!leadership.mayActFor(partition) || !partition.reconciled) return
+        var reassignmentCount = 0
+        var load = LoadBeforeReassignment(partition)
+        for (job in partition.pendingJobsInOrder(nowMs())) {
+            if (reassignmentCount >= MAX_REASSIGNMENTS) return
+            if (!isReassignable(job)) continue
+            val target = targets.bestFor(job.spec, partition.zone) ?: return
+            val tasks = reserveTasks(partition, load, job, target) ?: continue
+            reassignmentCount++
+            target.raise(job.spec, tasks.cardinality())
+            val outcome = transactions.reassign(partition, job, tasks, target.zone)
+            if (outcome == ReassignmentOutcome.LEADERSHIP_LOST) return
+            load = LoadBeforeReassignment(partition)
         }
     }
 
-    private fun target(partition: Partition, spec: JobSpec): PartitionView? = views.values
-        .filter { it.zone != partition.zone && offers(it.zone, spec) && ownership.leaderOf(it.zone) != null }
-        .minByOrNull { it.meanFor(spec) }
-
-    /** What adds up over all machines and jobs of a partition, added up once between two moves. */
-    private class Means(partition: Partition) {
-        private val mean by lazy(LazyThreadSafetyMode.NONE) { partition.load.mean() }
-        private val ordinaryMean by lazy(LazyThreadSafetyMode.NONE) { partition.load.ordinaryMean() }
-        private val cores by lazy(LazyThreadSafetyMode.NONE) { partition.load.totalCores }
-        private val ordinaryCores by lazy(LazyThreadSafetyMode.NONE) { partition.load.ordinaryCores }
+    private fun isReassignable(job: PartitionJob): Boolean {
+        val spec = job.spec
+        if (job.finished || spec.zone != null || job.pending.isEmpty) return false
+        // All tasks of such a job are in one zone: it is reassigned as a whole or not at all.
+        return !spec.sameZone || job.allTasksPending
+    }
 
-        fun mean(spec: JobSpec): Double = if (spec.spot) mean else ordinaryMean
+    /** Sets aside the tasks of [job] that are to be reassigned to [target]; null if it is not worth while. */
+    private fun reserveTasks(
+        partition: Partition,
+        load: LoadBeforeReassignment,
+        job: PartitionJob,
+        target: PartitionView,
+    ): BitSet? {
+        val cores = coresToReassign(load, job, target) ?: return null
+        return partition.reserveForReassignment(job, cores).takeUnless { it.isEmpty }
+    }
 
-        fun cores(spec: JobSpec): Double = if (spec.spot) cores else ordinaryCores
+    /** How many cores' worth of tasks of [job] should wait at [target] instead; null if none should. */
+    private fun coresToReassign(load: LoadBeforeReassignment, job: PartitionJob, target: PartitionView): Double? {
+        val spec = job.spec
+        val targetMean = target.meanFor(spec)
+        val gap = load.meanFor(spec) - targetMean
+        val hasWaitedLong = LongWait.mayMove((wallMs() - job.readyMs) / MS_PER_S, targetMean)
+        val minGap = if (hasWaitedLong) LongWait.LEAST_GAP else MIN_GAP
+        if (gap < minGap) return null
+        // Half of the gap, in cores of the smaller partition: both means then meet, and nothing swings back.
+        val targetCores = if (spec.spot) target.cores else target.ordinaryCores
+        val balancingCores = gap / 2 * minOf(maxOf(load.coresFor(spec), 1.0), maxOf(targetCores, 1.0))
+        if (!spec.sameZone) return maxOf(balancingCores, spec.cores)
+        val isTooLarge = !hasWaitedLong && job.pendingCores > balancingCores * 2
+        return if (isTooLarge) null else Double.MAX_VALUE
     }
 
     private companion object {
-        const val EVERY_MS = 900L
-        const val MOVES = 3
+        const val PERIOD_MS = 900L
+        const val PERIOD_JITTER_MS = 400L
+        const val MAX_REASSIGNMENTS = 3
+
+        /** By how much the mean loads of two partitions must differ. */
         const val MIN_GAP = 0.15
+        const val MS_PER_S = 1000.0
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
@@ -3,7 +3,7 @@
 import io.otterknot.config.LoadSpreadMode
 import io.otterknot.config.LoadSpreadSettings
 import io.otterknot.partition.Partition
-import io.otterknot.reassignment.TaskReassignment
+import io.otterknot.reassignment.ReassignmentTransactions
 import io.otterknot.records.PressureRecord
 import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.CoroutineScope
@@ -19,7 +19,7 @@
  */
 class LoadSpread(
     private val host: LoadSpreadHost,
-    private val reassignment: TaskReassignment,
+    private val reassignment: ReassignmentTransactions,
     private val settings: () -> LoadSpreadSettings,
     private val nowMs: () -> Long,
     private val wallMs: () -> Long,
--- a/src/main/kotlin/io/otterknot/rebalance/MoveExecutor.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveExecutor.kt
@@ -1,7 +1,8 @@
 package io.otterknot.rebalance
 
 import io.otterknot.partition.Partition
-import io.otterknot.reassignment.TaskReassignment
+import io.otterknot.reassignment.ReassignmentOutcome
+import io.otterknot.reassignment.ReassignmentTransactions
 
 /**
  * Executes the moves of one partition and tracks them. It keeps nothing durable: stops are commands in heartbeat
@@ -9,7 +10,7 @@
  */
 class MoveExecutor(
     private val partition: Partition,
-    private val reassignment: TaskReassignment,
+    private val reassignment: ReassignmentTransactions,
     private val journal: MoveJournal,
     private val history: MoveHistory,
     private val budget: LostWorkBudget,
@@ -84,12 +85,12 @@
             return
         }
         journal.proposed(move)
-        when (reassignment.transfer(partition, job, tasks, move.target)) {
-            TaskReassignment.Outcome.MOVED -> journal.ended(move, MoveState.PLACED, null, tasks.cardinality())
+        when (reassignment.reassign(partition, job, tasks, move.target)) {
+            ReassignmentOutcome.REASSIGNED -> journal.ended(move, MoveState.PLACED, null, tasks.cardinality())
 
-            TaskReassignment.Outcome.STAYED -> journal.ended(move, MoveState.ABANDONED, MoveOutcome.NOT_REASSIGNED)
+            ReassignmentOutcome.NOT_REASSIGNED -> journal.ended(move, MoveState.ABANDONED, MoveOutcome.NOT_REASSIGNED)
 
-            TaskReassignment.Outcome.PARTITION_LOST -> journal.ended(
+            ReassignmentOutcome.LEADERSHIP_LOST -> journal.ended(
                 move,
                 MoveState.ABANDONED,
                 MoveOutcome.LEADERSHIP_LOST,
--- a/src/main/kotlin/io/otterknot/rebalance/PartitionRebalancer.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PartitionRebalancer.kt
@@ -3,7 +3,7 @@
 import io.otterknot.config.LoadSpreadMode
 import io.otterknot.config.LoadSpreadSettings
 import io.otterknot.partition.Partition
-import io.otterknot.reassignment.TaskReassignment
+import io.otterknot.reassignment.ReassignmentTransactions
 import io.otterknot.wire.JobSpec
 import kotlin.random.Random
 
@@ -14,7 +14,7 @@
 internal class PartitionRebalancer(
     val partition: Partition,
     private val settings: LoadSpreadSettings,
-    reassignment: TaskReassignment,
+    reassignment: ReassignmentTransactions,
     isLed: (Partition) -> Boolean,
     targets: (JobSpec) -> List<String>,
     random: Random,
--- a/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
+++ b/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
@@ -1,6 +1,5 @@
 package io.otterknot.controller
 
-import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.records.CompletionSegmentRecord
 import io.otterknot.records.JobRecord
 import io.otterknot.records.StoreKeys
@@ -11,6 +10,7 @@
 import io.otterknot.store.WriteLimits
 import io.otterknot.testing.StoreFixture
 import io.otterknot.testing.jobChange
+import io.otterknot.testing.leadership
 import io.otterknot.testing.smallJob
 import io.otterknot.wire.KeyChange
 import kotlinx.coroutines.ExperimentalCoroutinesApi
@@ -35,14 +35,11 @@
         val client = fixture.client
         val jobs = fixture.readJobs()
         val replica = fixture.replica
-        val leadership = PartitionLeadership(
-            "n", listOf("a"), mapOf("n" to "a"), client, replica, 20_000, fixture.now, Random(1),
-            machines = { emptySet() }, onClaim = { _, _, _ -> }, onLoss = {}, mayClaim = { true },
-        )
+        val leadership = fixture.leadership("n", mapOf("n" to "a"))
         launch { replica.followWatch() }
         launch { leadership.keepStoreLease() }
         launch { leadership.acquirePartitions() }
-        while (leadership.token("a") == null) delay(50)
+        while (leadership.actingToken("a") == null) delay(50)
         val completions = CompletionSegmentRecord(ids.associateWith { "AQ" })
         val done =
             KeyChange(
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
@@ -345,7 +345,11 @@
             ),
             PlanCase(
                 "a guarantee, room comes soon",
-                snapshot(listOf(covered(1)), CROWDED_MACHINES + machine(3, listOf(red(20, remainingS = 2.0))), there = 1.8),
+                snapshot(
+                    listOf(covered(1)),
+                    CROWDED_MACHINES + machine(3, listOf(red(20, remainingS = 2.0))),
+                    there = 1.8,
+                ),
                 emptyList(),
                 RefusalReason.CAPACITY_EXPECTED_SOON,
             ),
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -28,7 +28,6 @@
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
 import io.otterknot.jobs.Job
-import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.metrics.Metrics
 import io.otterknot.partition.Partition
 import io.otterknot.partition.TeamQuota
@@ -53,6 +52,7 @@
 import io.otterknot.testing.StoreFixture
 import io.otterknot.testing.applyRecord
 import io.otterknot.testing.jobChange
+import io.otterknot.testing.leadership
 import io.otterknot.testing.testPartition
 import io.otterknot.wire.ErrorResponse
 import io.otterknot.wire.ExitCause
@@ -461,10 +461,7 @@
         var types: List<MachineType>? = listOf(MachineType("g8", 96.0, 8.0, 768.0, zones = listOf("a", "b")))
         var isIsolated = false
         val partitions = HashMap<String, Partition>()
-        val ownership = PartitionLeadership(
-            "holt-a", listOf("a", "b"), mapOf("holt-a" to "a", "holt-b" to "b"), bench.client, bench.replica,
-            20_000, bench.now, Random(1), { emptySet() }, { _, _, _ -> }, { partitions.remove(it) }, { true },
-        )
+        val ownership = bench.leadership("holt-a", mapOf("holt-a" to "a", "holt-b" to "b"), partitions = partitions)
         private val users = JobApi(
             JobStoreAccess(bench.client, bench.replica, bench.readJobs(), WriteLimits(8_192, 40)),
             JobAdmission(listOf(TeamSettings("vision", cpusMax = 90.0))) { types },
--- a/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
+++ b/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
@@ -3,11 +3,11 @@
 import io.otterknot.http.Reply
 import io.otterknot.http.Transport
 import io.otterknot.leadership.FencedTransactions
-import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.partition.Partition
 import io.otterknot.records.StoreKeys
 import io.otterknot.testing.FakeKeyValueStore
 import io.otterknot.testing.StoreFixture
+import io.otterknot.testing.leadership
 import io.otterknot.testing.testPartition
 import io.otterknot.wire.KeyChange
 import io.otterknot.wire.VersionCondition
@@ -89,7 +89,7 @@
 
     /** A transaction without an answer may be carried out late: to go on as if it were not could start tasks twice. */
     @ParameterizedTest
-    @CsvSource("400|,NOT_APPLIED", "429|503|400|,NOT_APPLIED", "|400|,PART_LOST", "429|,APPLIED", "||,APPLIED")
+    @CsvSource("400|,NOT_APPLIED", "429|503|400|,NOT_APPLIED", "|400|,LEADERSHIP_LOST", "429|,APPLIED", "||,APPLIED")
     fun `a change refused for its size is settled only if no earlier try of it may still come`(
         answers: String,
         expected: String,
@@ -97,32 +97,25 @@
         val statuses = answers.split('|').dropLast(1).map { it.toIntOrNull() }
         val bench = StoreFixture(this) { script(it, statuses) }
         val partitions = HashMap<String, Partition>()
-        val now = { testScheduler.currentTime }
-        val ownership = PartitionLeadership(
-            "n", listOf("a"), mapOf("n" to "a"), bench.client, bench.replica, 20_000, now, Random(1),
-            machines = { emptySet() },
-            onClaim = { _, _, _ -> },
-            onLoss = { partitions.remove(it) },
-            mayClaim = { true },
-        )
+        val leadership = bench.leadership("n", mapOf("n" to "a"), partitions = partitions)
         val running = launch {
             launch { bench.replica.followWatch() }
-            launch { ownership.keepStoreLease() }
-            launch { ownership.acquirePartitions() }
+            launch { leadership.keepStoreLease() }
+            launch { leadership.acquirePartitions() }
         }
 
         bench.replica.awaitLoaded()
-        while (ownership.token("a") == null) kotlinx.coroutines.delay(50)
-        val token = ownership.token("a")!!
+        while (leadership.actingToken("a") == null) kotlinx.coroutines.delay(50)
+        val token = leadership.actingToken("a")!!
         val partition = testPartition(emptyList(), fencingToken = token) { null }
         partitions["a"] = partition
         val txn =
-            FencedTransactions(bench.client, bench.replica, ownership, partitions, WriteLimits(8_192, 40), Random(1))
+            FencedTransactions(bench.client, bench.replica, leadership, partitions, WriteLimits(8_192, 40), Random(1))
         val settled = txn.settle(partition, CompareAndSwap.put(Snapshot.absent(StoreKeys.job("j-1")), value(100)))
         assertEquals(expected, settled.name)
         kotlinx.coroutines.delay(2_000)
-        val lost = expected == "PART_LOST"
-        assertEquals(lost, ownership.token("a")!! > token, "what may still come is guarded by the token before")
+        val lost = expected == "LEADERSHIP_LOST"
+        assertEquals(lost, leadership.actingToken("a")!! > token, "what may still come is guarded by the token before")
         running.cancel()
         currentCoroutineContext().cancelChildren()
     }
--- /dev/null
+++ b/src/test/kotlin/io/otterknot/testing/LeadershipFixture.kt
@@ -0,0 +1,31 @@
+package io.otterknot.testing
+
+import io.otterknot.leadership.LeadershipAcquisition
+import io.otterknot.leadership.LeadershipHost
+import io.otterknot.leadership.LeadershipListener
+import io.otterknot.leadership.LeadershipSettings
+import io.otterknot.leadership.PartitionLeadership
+import io.otterknot.partition.Partition
+import kotlin.random.Random
+
+/** The leadership of a controller that may always acquire partitions and removes from [partitions] what it loses. */
+fun StoreFixture.leadership(
+    label: String,
+    domains: Map<String, String>,
+    zones: List<String> = domains.values.toList(),
+    partitions: MutableMap<String, Partition> = HashMap(),
+): PartitionLeadership {
+    val host = object : LeadershipHost {
+        override val canServePartitions = true
+        override fun registeredMachines(zone: String) = emptySet<String>()
+    }
+    val listener = object : LeadershipListener {
+        override fun leadershipAcquired(acquisition: LeadershipAcquisition) = Unit
+
+        override fun leadershipLost(zone: String) {
+            partitions.remove(zone)
+        }
+    }
+    val settings = LeadershipSettings(label, zones, domains, storeLeaseTtlMs = 20_000)
+    return PartitionLeadership(settings, client, replica, host, listener, now, Random(1))
+}
