--- a/src/main/kotlin/io/otterknot/store/StoreHealth.kt
+++ b/src/main/kotlin/io/otterknot/store/StoreHealth.kt
@@ -43,7 +43,7 @@
         private const val MIN_FAILURES = 2
         private const val MIN_FAILING_MS = 400L
 
-        /** Whether the store has answered; a 503 is an outage, or the store refuses this controller alone (PROTOCOL). */
+        /** Whether the store has answered; 503 is an outage, or the store refuses this controller alone (PROTOCOL). */
         fun isAnswer(reply: Reply): Boolean = reply is Reply.Answer && reply.status != HttpStatus.SERVICE_UNAVAILABLE
     }
 }
--- a/src/main/kotlin/io/otterknot/store/StoreReplica.kt
+++ b/src/main/kotlin/io/otterknot/store/StoreReplica.kt
@@ -7,8 +7,8 @@
 
 /**
  * A copy of everything that the controllers keep in the store: every key is as it was at [revision] or, after all has
- * been read page by page, later; no key ever goes back. Only the watch and such a reading change it, so own transactions
- * show here when the watch brings them, never before. Confined to the controller's event loop.
+ * been read page by page, later; no key ever goes back. Only the watch and such a reading change it, so own
+ * transactions show here when the watch brings them, never before. Confined to the controller's event loop.
  *
  * [followWatch] and [serveReadBarriers] have to run in the background. [pauseMs]: the pause between two watches, and
  * between two reads of the barrier, by which each controller stays within its share of the store's rate limits.
