--- a/src/main/kotlin/io/otterknot/wire/CloudMessages.kt
+++ b/src/main/kotlin/io/otterknot/wire/CloudMessages.kt
@@ -29,7 +29,7 @@
 /** The body of `POST /machines`. */
 @Serializable
 data class ScaleOutRequest(
-    /** Id of the request; repeated with the same one, it rents nothing more, so it is never used for another request. */
+    /** Id of the request, never used for another one: a repetition with the same id rents nothing more. */
     @SerialName("Bid") val request: String,
     @SerialName("Breed") val type: String,
     @SerialName("Reach") val zone: String,
--- a/src/main/kotlin/io/otterknot/wire/JobSubmission.kt
+++ b/src/main/kotlin/io/otterknot/wire/JobSubmission.kt
@@ -81,7 +81,7 @@
     return ids.ifEmpty { null }
 }
 
-/** The fields of a submission; each function throws [MalformedMessageException] for a value of another type or range. */
+/** The fields of a submission; each function throws [MalformedMessageException] for a wrong type or range. */
 private class SubmissionFields(private val source: JsonObject) {
     private fun present(name: String): JsonElement? = source[name]?.takeUnless { it is JsonNull }
 
--- a/src/test/kotlin/io/otterknot/wire/WireTest.kt
+++ b/src/test/kotlin/io/otterknot/wire/WireTest.kt
@@ -28,13 +28,10 @@
 
     @Test
     fun `what may be null may be left out`() {
-        val spec =
-            parseSubmission(
-                good.replace(
-                    """"Reach":null,""",
-                    "",
-                ).replace(""""Breeds":["g8"],""", "").replace(""","DueS":900.0""", "").encodeToByteArray(),
-            )
+        val shortened = good.replace(""""Reach":null,""", "")
+            .replace(""""Breeds":["g8"],""", "")
+            .replace(""","DueS":900.0""", "")
+        val spec = parseSubmission(shortened.encodeToByteArray())
         assertEquals(null, spec.types)
         assertEquals(null, spec.dueS)
     }
@@ -49,13 +46,9 @@
             "[\"j-000002\",\"j-000001\",\"j-000002\"]|j-000002 j-000001",
         ],
     )
-    fun `jobs that are awaited are read, each once`(awaits: String, read: String?) {
-        assertEquals(
-            read,
-            parseSubmission(
-                good.replace("\"DueS\":900.0", "\"Awaits\":$awaits").encodeToByteArray(),
-            ).dependencies?.joinToString(" "),
-        )
+    fun `the dependencies of a job are read, each once`(awaits: String, read: String?) {
+        val spec = parseSubmission(good.replace("\"DueS\":900.0", "\"Awaits\":$awaits").encodeToByteArray())
+        assertEquals(read, spec.dependencies?.joinToString(" "))
     }
 
     @ParameterizedTest
@@ -91,7 +84,7 @@
             "\"DueS\":900.0|\"Awaits\":[\"\"]|Awaits",
         ],
     )
-    fun `a bad field is named`(from: String, to: String?, field: String) {
+    fun `the refusal of a submission names the bad field`(from: String, to: String?, field: String) {
         val bad = good.replace(from, to.orEmpty())
         assertTrue(bad != good)
         val refused = assertThrows(MalformedMessageException::class.java) { parseSubmission(bad.encodeToByteArray()) }
@@ -100,7 +93,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = ["", "{", "[]", "7", "null", "\"x\"", "{\"Uid\":}", "nonsense"])
-    fun `what is no object is refused`(body: String) {
+    fun `a submission that is no JSON object is refused`(body: String) {
         assertThrows(MalformedMessageException::class.java) { parseSubmission(body.encodeToByteArray()) }
     }
 
