--- a/src/main/kotlin/io/otterknot/autoscaling/ScaleIn.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ScaleIn.kt
@@ -40,7 +40,7 @@
     }
 
     /** Takes the machines that are being drained because of low demand back into service. */
-    fun cancelDrains(partition: Partition) = partition.machines.forEach { it.drainingForScaleIn = false }
+    fun cancelDrains(partition: Partition) = partition.machines.forEach { it.cancelDrain() }
 
     /**
      * Drains what the partition can do without, ordinary machines before spot instances and the least loaded first.
@@ -55,7 +55,7 @@
         var draining = 0
         for (machine in candidates) {
             if (!policy.canSpare(remaining, machine.spot, machine.type.cores)) continue
-            machine.drainingForScaleIn = true
+            machine.drain()
             draining++
             remaining = remaining.without(machine.spot, machine.type.cores)
         }
@@ -65,14 +65,14 @@
     suspend fun releaseDrained(partition: Partition) {
         val machines = partition.machines.filter(::isReleasable)
         if (machines.isEmpty()) return
-        machines.forEach { it.draining = true }
+        machines.forEach { it.quarantine() }
         release(machines.map { it.id }, ScaleInReason.DRAINED)
     }
 
     /** A machine with a spot notice goes by itself. */
     private fun isReleasable(machine: Machine): Boolean {
         if (machine.attempts.isNotEmpty() || machine.leaseExpired) return false
-        return machine.drainingForScaleIn || (machine.draining && !machine.hasSpotNotice)
+        return machine.draining || (machine.quarantined && !machine.hasSpotNotice)
     }
 
     /** Releases the machines [ids]; if the cloud does not confirm it, nothing changes here and the next round retries. */
--- a/src/main/kotlin/io/otterknot/partition/AttemptLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/AttemptLedger.kt
@@ -45,12 +45,12 @@
     /** Frees what the attempt holds; the caller decides what becomes of its task. Once released, nothing happens. */
     fun release(attempt: Attempt) {
         if (attempt.phase == AttemptPhase.EXITED) return
-        attempt.phase = AttemptPhase.EXITED
+        attempt.markExited()
         val job = attempt.job
         val machine = attempt.machine
         machine.attempts.remove(attempt.id)
         machine.unbook(job.spec)
-        if (attempt.stopping) machine.beingFreed.add(job.spec, -1)
+        if (attempt.stopping) machine.beingFreed.subtract(job.spec)
         if (job.active.get(attempt.task) === attempt) job.active.remove(attempt.task)
         teams.unbook(job.team, job.spec)
     }
--- a/src/main/kotlin/io/otterknot/partition/CommandIssuer.kt
+++ b/src/main/kotlin/io/otterknot/partition/CommandIssuer.kt
@@ -21,9 +21,7 @@
     }
 
     private fun start(attempt: Attempt, now: Long): HeartbeatCommand {
-        attempt.phase = AttemptPhase.SENT
-        attempt.startSent = true
-        attempt.phaseSinceMs = now
+        attempt.markSent(now)
         return HeartbeatCommand.start(attempt.name, attempt.id)
     }
 
--- a/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
@@ -42,8 +42,7 @@
 
     /** Null until the completion is durable: until then the machine's heartbeats are the only trace of it. */
     private fun complete(machine: Machine, job: PartitionJob, task: Int, status: TaskStatus): HeartbeatCommand? {
-        machine.failedJobs.clear()
-        machine.failures = 0
+        machine.attemptCompleted()
         if (job.job.completedTasks.get(task)) return forget(status)
         if (job.owned.get(task)) attempts.recordCompletion(job, task)
         return null
@@ -52,11 +51,10 @@
     private fun forget(status: TaskStatus) = HeartbeatCommand.forget(status.task, status.attempt)
 
     private fun recordFailure(machine: Machine, job: PartitionJob, now: Long) {
-        job.failures++
-        machine.avoid(job, now)
-        machine.failures++
-        if (isFaulty(machine, job)) machine.draining = true
-        if (job.failures > MAX_FAILURES_WITHOUT_DELAY) job.retryAtMs = now + retryDelayMs(job.failures)
+        val failures = job.attemptFailed()
+        machine.attemptFailed(job, now)
+        if (isFaulty(machine, job)) machine.quarantine()
+        if (failures > MAX_FAILURES_WITHOUT_DELAY) job.delayRetry(now + retryDelayMs(failures))
     }
 
     /**
@@ -64,8 +62,8 @@
      * that fails everywhere says nothing of machines, but must not keep them all busy.
      */
     private fun isFaulty(machine: Machine, job: PartitionJob): Boolean {
-        if (machine.failures < MIN_FAILURES_OF_FAULTY_MACHINE) return false
-        return machine.failedJobs.size >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE || !job.job.completedTasks.isEmpty
+        if (machine.consecutiveFailures < MIN_FAILURES_OF_FAULTY_MACHINE) return false
+        return machine.failedJobCount >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE || !job.job.completedTasks.isEmpty
     }
 
     private fun retryDelayMs(failures: Int): Long =
--- a/src/main/kotlin/io/otterknot/partition/FailoverReconciliation.kt
+++ b/src/main/kotlin/io/otterknot/partition/FailoverReconciliation.kt
@@ -48,9 +48,9 @@
      * partition in doubt for ever.
      */
     fun priorTokenShown(machine: Machine, now: Long) {
-        machine.reconciled = false
+        machine.markUnreconciled()
         if (now - term.priorLeaderUntilMs <= leases.noRenewalAfterMs) {
-            machine.leaseStartMs = now
+            machine.leaseMayStart(now)
         } else {
             machineReconciled(machine, now)
         }
--- a/src/main/kotlin/io/otterknot/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatProcessor.kt
@@ -31,13 +31,11 @@
         if (!machines.isNewer(heartbeat, known)) return HeartbeatDecision.Stale
         val machine = known ?: machines.add(heartbeat, type, now)
         if (heartbeat.epoch > machine.epoch) startEpoch(machine, heartbeat.epoch, isKnown = known != null, now)
-        machine.lastSequence = heartbeat.sequence
-        machine.lastHeartbeatMs = now
-        machine.leaseExpired = false
+        machine.heartbeatReceived(heartbeat.sequence, now)
         books.health.forget(machine.id)
         if (heartbeat.fencingToken < term.fencingToken) {
             // This leader has responded to a known machine before, and the token was in that response.
-            if (known != null) machine.lostResponses++
+            if (known != null) machine.responsesLost(1)
             reconciliation.priorTokenShown(machine, now)
             return answer(emptyList())
         }
@@ -50,20 +48,16 @@
     private fun startEpoch(machine: Machine, epoch: Long, isKnown: Boolean, now: Long) {
         // Its lease expired although its heartbeats arrived all the while: the responses to them did not.
         val hasKeptReporting = now - machine.lastHeartbeatMs < leases.leaseMs / 2
-        if (isKnown && hasKeptReporting) machine.lostResponses += LOST_BY_LEASE_EXPIRY
+        if (isKnown && hasKeptReporting) machine.responsesLost(LOST_BY_LEASE_EXPIRY)
         books.attempts.releaseAll(machine)
-        machine.epoch = epoch
+        machine.epochStarted(epoch)
     }
 
     /** The heartbeat shows this leader's token, so no command of an earlier leader can reach the machine any more. */
     private fun applyReconciled(machine: Machine, heartbeat: Heartbeat, now: Long): List<HeartbeatCommand> {
-        machine.leaseStartMs = now
-        if (!machine.reconciled) {
-            machine.reconciled = true
-            machine.lostResponses = 0
-        }
-        machine.hasSpotNotice = heartbeat.spotNoticeS != null
-        if (machine.hasSpotNotice) machine.draining = true
+        machine.leaseMayStart(now)
+        machine.reconcile()
+        machine.updateSpotNotice(heartbeat.spotNoticeS != null)
         val commands = ArrayList<HeartbeatCommand>()
         for (status in heartbeat.tasks) {
             val command = reconciler.reconcile(machine, status, now)
@@ -89,14 +83,14 @@
         } else {
             withUnknownTasks.remove(machine.id)
         }
-        machine.hasUnknownTasks = hasUnknownTasks
+        machine.updateUnknownTasks(hasUnknownTasks)
     }
 
     /** Tries with a single task whether responses reach a machine that seems to lose them. */
     private fun probe(machine: Machine, now: Long) {
         val isIdle = machine.attempts.isEmpty() && machine.reconciled && machine.registered && machine.inService
         if (!isIdle || now - machine.lastProbeMs < MIN_PROBE_INTERVAL_MS) return
-        machine.lastProbeMs = now
+        machine.probed(now)
         scheduler.probe(machine, now)
     }
 
--- a/src/main/kotlin/io/otterknot/partition/HeartbeatReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatReconciler.kt
@@ -26,7 +26,7 @@
     /** Applies what a heartbeat shows of one task; the command to respond with, or null: none is needed. */
     fun reconcile(machine: Machine, status: TaskStatus, now: Long): HeartbeatCommand? {
         val booked = machine.attempts.get(status.attempt)
-        if (booked != null && booked.phase == AttemptPhase.SENT) machine.lostResponses = 0
+        if (booked != null && booked.phase == AttemptPhase.SENT) machine.clearLostResponses()
         val task = booked?.task ?: TaskName.parse(status.task).number
         val job = booked?.job ?: jobs[status.task.substringBefore('/')]
         val hasExited = status.state == TaskState.EXITED
@@ -35,7 +35,7 @@
             return if (booked != null) exits.booked(booked, status, now) else exits.unbooked(machine, job, task, status)
         }
         val attempt = booked ?: adopt(machine, job, task, status, now) ?: return halt(status)
-        attempt.lastShownSequence = machine.lastSequence
+        attempt.shownBy(machine.lastSequence)
         updatePhase(attempt, status, now)
         return null
     }
@@ -71,20 +71,10 @@
             else -> AttemptPhase.RUNNING
         }
         if (phase == attempt.phase) return
-        if (phase == AttemptPhase.RUNNING) beginRun(attempt, now)
-        if (phase == AttemptPhase.SAVING) attempt.savingSinceMs = now
+        val hasFetched = phase == AttemptPhase.RUNNING && attempt.phase == AttemptPhase.FETCHING
+        if (hasFetched) fetchTimes.record(attempt.machine, attempt.job.spec, now - attempt.phaseSinceMs)
         attempt.machine.useImage(attempt.job.spec)
-        attempt.phase = phase
-    }
-
-    private fun beginRun(attempt: Attempt, now: Long) {
-        // Only of a task that was seen to fetch, or that this leader started, is it known how long it has run.
-        attempt.seenRunning = attempt.phase != AttemptPhase.SENT || attempt.startSent
-        if (attempt.phase == AttemptPhase.FETCHING) {
-            fetchTimes.record(attempt.machine, attempt.job.spec, now - attempt.phaseSinceMs)
-        }
-        attempt.phaseSinceMs = now
-        attempt.job.hasStarted = true
+        attempt.enterPhase(phase, now)
     }
 
     /**
@@ -100,7 +90,7 @@
             if (attempt.phase == AttemptPhase.SENT) isResponseLost = true
             attempts.releaseAndRequeue(attempt)
         }
-        if (isResponseLost) machine.lostResponses++
+        if (isResponseLost) machine.responsesLost(1)
     }
 
     /**
--- a/src/main/kotlin/io/otterknot/partition/JobBook.kt
+++ b/src/main/kotlin/io/otterknot/partition/JobBook.kt
@@ -69,9 +69,7 @@
 
     /** The job has ended: nothing of it starts any more, and what runs is stopped. */
     private fun drop(job: PartitionJob) {
-        job.finished = true
-        job.pending.clear()
-        job.inDoubt.clear()
+        job.finish()
         waitingWork.touch(job)
         byId.remove(job.id)
         trigger.requestReordering()
--- a/src/main/kotlin/io/otterknot/partition/MachineBook.kt
+++ b/src/main/kotlin/io/otterknot/partition/MachineBook.kt
@@ -33,11 +33,9 @@
 
     /** Adds the machine that sent its first [heartbeat]. */
     fun add(heartbeat: Heartbeat, type: MachineType, now: Long): Machine {
-        val machine = Machine(heartbeat.machine, type, heartbeat.spot, imageCounts)
+        val machine = Machine(heartbeat.machine, type, heartbeat.spot, now, imageCounts)
         byId.add(machine)
-        machine.registered = machine.id in registered
-        machine.firstSeenMs = now
-        machine.leaseStartMs = now
+        machine.updateRegistration(machine.id in registered)
         return machine
     }
 
@@ -65,7 +63,7 @@
         for (machine in all) {
             val isRegistered = machine.id in ids
             if (isRegistered && !machine.registered) hasNew = true
-            machine.registered = isRegistered
+            machine.updateRegistration(isRegistered)
         }
         return hasNew
     }
--- a/src/main/kotlin/io/otterknot/partition/MachineLifecycle.kt
+++ b/src/main/kotlin/io/otterknot/partition/MachineLifecycle.kt
@@ -19,7 +19,7 @@
     fun check(now: Long, isLeaderSlow: Boolean) {
         for (machine in books.machines.all) {
             if (!machine.leaseExpired && isLeaseSurelyExpired(machine, now)) expireLease(machine)
-            if (isLeaderSlow) machine.lostResponses = 0
+            if (isLeaderSlow) machine.clearLostResponses()
             if (!machine.leaseExpired) stragglers.stopStragglers(machine, now)
         }
     }
@@ -35,8 +35,7 @@
             machine.id,
             machine.attempts.size,
         )
-        machine.leaseExpired = true
-        machine.idle = false
+        machine.expireLease()
         val withUnknownTasks = books.unknownUsage.withUnknownTasks
         val holdsEndedJobs = machine.attempts.values.any { it.job.finished } || machine.id in withUnknownTasks
         if (holdsEndedJobs) books.health.markUnresponsiveWithEndedJobs(machine.id)
--- a/src/main/kotlin/io/otterknot/partition/StragglerDetector.kt
+++ b/src/main/kotlin/io/otterknot/partition/StragglerDetector.kt
@@ -52,21 +52,21 @@
         if (attempt.phase != AttemptPhase.RUNNING || attempt.stopping || !attempt.seenRunning) return null
         val runMs = now - attempt.phaseSinceMs
         val ratio = attempt.job.runs.ratio(runMs) ?: return null
-        val minRatio = if (attempt.machine.slowness.slow) MIN_RATIO_ON_SLOW_MACHINE else MIN_RATIO
+        val minRatio = if (attempt.machine.slowness.isSlow) MIN_RATIO_ON_SLOW_MACHINE else MIN_RATIO
         if (ratio < minRatio || runMs < MIN_RUN_MS) return null
         return if (attempt.job.restarted.get(attempt.task)) null else ratio
     }
 
     private fun recordSlowness(machine: Machine, ratio: Double) {
         machine.slowness.add(ratio)
-        if (!machine.slowness.slow || machine.draining) return
+        if (!machine.slowness.isSlow || machine.quarantined) return
         log.info(
             "partition={} machine={} slowness={} machine quarantined, it is drained and released",
             zone,
             machine.id,
             machine.slowness,
         )
-        machine.draining = true
+        machine.quarantine()
     }
 
     private companion object {
--- a/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
@@ -85,7 +85,7 @@
 
     /** A machine with a spot notice is emptied by the partition itself, within the time of the notice. */
     private fun isEmptied(machine: Machine): Boolean =
-        machine.draining && !machine.hasSpotNotice && !machine.leaseExpired && machine.attempts.isNotEmpty()
+        machine.quarantined && !machine.hasSpotNotice && !machine.leaseExpired && machine.attempts.isNotEmpty()
 
     private fun sample(machines: List<Machine>): List<Machine> {
         if (machines.size <= settings.sampledMachines) return machines
--- a/src/main/kotlin/io/otterknot/scheduling/PlacementCandidates.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PlacementCandidates.kt
@@ -2,83 +2,71 @@
 
 import kotlin.random.Random
 
-/** What Saqr keeps of a place that takes work: whether it is idle, its load, and what was added since. */
-open class PlacementTarget {
-    var idle = false
-    var load = 0.0
-    var drift = 0.0
-
-    /** A report says afresh what is booked. */
-    fun reported(booked: Double, nothingBooked: Boolean) {
-        load = booked
-        drift = 0.0
-        idle = nothingBooked
-    }
-
-    /** Takes a task of this [share], being idle or the only one that fits. */
-    fun take(share: Double) {
-        load = if (idle) share else load + drift + share
-        drift = 0.0
-        idle = false
-    }
-}
-
 /**
- * The places that one job's tasks may go to, chosen among as Saqr does (section 3.2): an idle one first, else the
- * lighter of two samples. Places that do not fit any more are found out when they are met, so that dealing out the
- * many tasks of a job does not look at every place for each of them.
+ * The targets that the tasks of one job may be placed on, chosen among as Saqr does (section 3.2): an idle one if there
+ * is any, else the power of two choices. Targets that do not fit any more are found out when they are drawn, so that
+ * placing the many tasks of a job does not look at every target for each of them.
  */
-class PlacementCandidates<P : PlacementTarget>(places: List<P>, private val fits: (P) -> Boolean) {
-    private val fitting = ArrayList<P>(places.size)
-    private val idle = ArrayList<P>()
+class PlacementCandidates<T : PlacementTarget>(targets: List<T>, private val fits: (T) -> Boolean) {
+    private val fitting = ArrayList<T>(targets.size)
+    private val idle = ArrayList<T>()
 
     init {
-        for (place in places) {
-            if (!fits(place)) continue
-            fitting.add(place)
-            if (place.idle) idle.add(place)
+        for (target in targets) {
+            if (!fits(target)) continue
+            fitting.add(target)
+            if (target.idle) idle.add(target)
         }
     }
 
-    /** Chooses a place for a task that takes [share] of each and books it there; null: none fits. */
-    fun choose(random: Random, share: (P) -> Double): P? =
-        chooseIdle(random)?.also { it.take(share(it)) } ?: chooseLighter(random, share)
+    /** Chooses a target for a task that takes [share] of each, and adds that to its load; null: none fits. */
+    fun choose(random: Random, share: (T) -> Double): T? {
+        val idleTarget = chooseIdle(random) ?: return chooseLessLoaded(random, share)
+        idleTarget.addLoad(share(idleTarget))
+        return idleTarget
+    }
 
-    private fun chooseIdle(random: Random): P? {
+    private fun chooseIdle(random: Random): T? {
         while (idle.isNotEmpty()) {
-            val at = random.nextInt(idle.size)
-            val place = idle[at]
-            val last = idle.removeAt(idle.size - 1)
-            if (at < idle.size) idle[at] = last
-            if (place.idle && fits(place)) return place
+            val index = random.nextInt(idle.size)
+            val target = idle[index]
+            idle.removeUnordered(index)
+            if (target.idle && fits(target)) return target
         }
         return null
     }
 
-    private fun chooseLighter(random: Random, share: (P) -> Double): P? {
-        val first = sample(random, null) ?: return null
-        val second = sample(random, first) ?: return first.also { it.take(share(it)) }
-        val light = if (second.load < first.load) second else first
-        val heavy = if (light === first) second else first
-        if (light.drift < heavy.load - light.load) {
-            light.drift += share(light)
-            return light
+    /** The power of two choices. While the drift is below the gap of the loads, it cannot change which is lighter. */
+    private fun chooseLessLoaded(random: Random, share: (T) -> Double): T? {
+        val first = sample(random, excluded = null) ?: return null
+        val second = sample(random, excluded = first) ?: return first.also { it.addLoad(share(it)) }
+        val lighter = if (second.load < first.load) second else first
+        val heavier = if (lighter === first) second else first
+        if (lighter.drift < heavier.load - lighter.load) {
+            lighter.addDrift(share(lighter))
+            return lighter
         }
-        val taken = if (light.load + light.drift <= heavy.load + heavy.drift) light else heavy
-        taken.take(share(taken))
-        return taken
+        val chosen = if (lighter.driftedLoad <= heavier.driftedLoad) lighter else heavier
+        chosen.addLoad(share(chosen))
+        return chosen
     }
 
-    /** One of the places that still fit, other than [besides], each as likely as the others. */
-    private fun sample(random: Random, besides: P?): P? {
-        while (fitting.size > (if (besides == null) 0 else 1)) {
-            val at = random.nextInt(fitting.size)
-            val place = fitting[at]
-            if (place === besides) continue
-            if (fits(place)) return place
-            val last = fitting.removeAt(fitting.size - 1)
-            if (at < fitting.size) fitting[at] = last
+    /** One of the targets that still fit, other than [excluded], each as likely as the others; null: none. */
+    private fun sample(random: Random, excluded: T?): T? {
+        val excludedCount = if (excluded == null) 0 else 1
+        while (fitting.size > excludedCount) {
+            val index = random.nextInt(fitting.size)
+            val target = fitting[index]
+            if (target === excluded) continue
+            if (fits(target)) return target
+            fitting.removeUnordered(index)
         }
         return null
     }
+
+    /** Removes in constant time; the last element takes the place. */
+    private fun ArrayList<T>.removeUnordered(index: Int) {
+        val last = removeAt(size - 1)
+        if (index < size) this[index] = last
+    }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
@@ -17,7 +17,7 @@
 
     /** Makes room for the waiting [jobs] of one [priority], in their order. */
     fun make(priority: Priority, jobs: List<PartitionJob>, machines: List<Machine>, now: Long) {
-        for (machine in machines) machine.held(priority).clear()
+        for (machine in machines) machine.reserved(priority).clear()
         val hopeless = ArrayList<JobSpec>()
         val stoppable = HashMap<Machine, List<Attempt>>()
         for (job in jobs) {
@@ -42,8 +42,8 @@
                 if (left == 0) break
                 val open = machine.unreservedRoom(priority)
                 while (left > 0 && open.covers(spec)) {
-                    open.add(spec, -1)
-                    machine.held(priority).add(spec)
+                    open.subtract(spec)
+                    machine.reserved(priority).add(spec)
                     left--
                 }
             }
@@ -53,7 +53,7 @@
             val waits = patient(job)
             while (left > 0) {
                 val best = options.poll() ?: break
-                best.machine.held(priority).add(spec)
+                best.machine.reserved(priority).add(spec)
                 left--
                 if (!waits) best.victims.forEach(stop)
                 option(best.machine, job, stoppable, now)?.let(options::add)
--- a/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
@@ -120,7 +120,7 @@
                 it.isAllowedFor(job.spec) && it.hasRoomFor(job.spec) && !it.avoids(job.id, now)
             }
             val machine = JobCandidates(fitting, job.spec, ordinaryWork) { true }.choose(random, job.spec) ?: continue
-            ledger.book(job, machine, now).protectedFromPreemption = true
+            ledger.book(job, machine, now).protectFromPreemption()
         }
         // Work within a team's guarantee need not wait for other teams.
         if (order.coveredBeforeAll) {
@@ -183,14 +183,14 @@
 
     private fun placeOne(job: PartitionJob, open: List<Machine>, only: Machine?, now: Long): Attempt? {
         val machine = if (only != null) {
-            only.takeIf { fits(job, it, now) }?.also { it.take(it.share(job.spec)) }
+            only.takeIf { fits(job, it, now) }?.also { it.addLoad(it.share(job.spec)) }
         } else {
             val candidates =
                 job.candidates
                     ?: JobCandidates(open, job.spec, ordinaryWork) { fits(job, it, now) }.also { job.candidates = it }
             candidates.choose(random, job.spec)
         } ?: return null
-        machine.held(job.spec.priority).takeUpTo(job.spec)
+        machine.reserved(job.spec.priority).subtractDownToZero(job.spec)
         return ledger.book(job, machine, now)
     }
 
--- a/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
@@ -22,7 +22,7 @@
             if (suits(head)) return head
             for (at in next + 1 until minOf(jobs.size, next + LOOK)) {
                 val job = jobs[at]
-                if (job.rank != head.rank) break
+                if (job.objectiveRank != head.objectiveRank) break
                 if (suits(job)) return job
             }
             return head
@@ -101,9 +101,8 @@
         val waiting = ArrayList<PartitionJob>()
         for (job in jobs) {
             if (job.pending.isEmpty) continue
-            job.missedObjectives = aims.missed(job, wall)
-            job.rank = rank(job.missedObjectives, aims.slackS(job, wall))
-            job.workLeft = job.remainingWork
+            val missed = aims.missed(job, wall)
+            job.updateSortKeys(missed, rank(missed, aims.slackS(job, wall)))
             waiting.add(job)
         }
         waiting.sortWith(ORDER)
@@ -127,8 +126,8 @@
         private const val SOON_S = 30.0
         private const val BEGIN_MS = 90_000L
         private val ORDER = compareBy<PartitionJob> { it.spec.priority }
-            .thenBy { it.rank }
-            .thenBy { it.workLeft }
+            .thenBy { it.objectiveRank }
+            .thenBy { it.remainingCoreSeconds }
             .thenBy { it.submittedMs }
             .thenBy { it.id }
     }
--- a/src/test/kotlin/io/otterknot/partition/StragglerDetectorTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/StragglerDetectorTest.kt
@@ -42,8 +42,8 @@
             partition.sweep(now)
             machines.forEach { it.heartbeat(partition, now) }
         }
-        assertTrue(partition.machine("slow")!!.draining)
-        assertTrue(partition.machines.none { it.id != "slow" && it.draining })
+        assertTrue(partition.machine("slow")!!.quarantined)
+        assertTrue(partition.machines.none { it.id != "slow" && it.quarantined })
         val halts = machines.sumOf { it.halts }
         assertTrue(halts in 1..8, "$halts")
     }
--- a/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/PlacementTest.kt
@@ -17,11 +17,7 @@
 import kotlin.random.Random
 
 class PlacementTest {
-    private fun place(load: Double, drift: Double, idle: Boolean = false) = PlacementTarget().also {
-        it.load = load
-        it.drift = drift
-        it.idle = idle
-    }
+    private fun place(load: Double, drift: Double, idle: Boolean = false) = PlacementTarget(load, drift, idle)
 
     /**
      * Two places: load and drift of each, the share of the task; who takes it, and load and drift of the taker after.
@@ -91,10 +87,7 @@
             full.clear()
             val candidates = PlacementCandidates(places) { it !in full }
             full.add(places[seed % 5])
-            places.forEach {
-                it.load = 0.5
-                it.drift = 0.0
-            }
+            places.forEach { it.reported(0.5, false) }
             val chosen = candidates.choose(Random(seed)) { 0.1 }!!
             assertTrue(chosen !in full)
             taken.merge(places.indexOf(chosen), 1, Int::plus)
