--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -16,7 +16,6 @@
 import io.otterknot.jobs.JobTable
 import io.otterknot.leadership.FencedTransactions
 import io.otterknot.leadership.LeadershipAcquisition
-import io.otterknot.leadership.LeadershipHost
 import io.otterknot.leadership.LeadershipListener
 import io.otterknot.leadership.LeadershipSettings
 import io.otterknot.leadership.PartitionLeadership
@@ -29,7 +28,6 @@
 import io.otterknot.quota.QuotaShares
 import io.otterknot.quota.QuotaTransfers
 import io.otterknot.ratelimit.RateLimiter
-import io.otterknot.reassignment.ReassignmentConstraints
 import io.otterknot.reassignment.ReassignmentTargets
 import io.otterknot.reassignment.ReassignmentTransactions
 import io.otterknot.reassignment.TaskReassigner
@@ -40,7 +38,6 @@
 import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.scheduling.objectivesByJobClass
 import io.otterknot.store.BatchWriter
-import io.otterknot.wire.JobSpec
 import kotlinx.coroutines.coroutineScope
 import kotlin.random.Random
 
@@ -85,7 +82,7 @@
         ),
         store.client,
         store.replica,
-        LeadershipSurroundings(),
+        ControllerLeadershipHost(catalog, machines),
         ActivationListener(),
         nowMs,
         random,
@@ -127,7 +124,7 @@
     )
     private val reassigner = TaskReassigner(
         reassignment,
-        ReassignmentTargets(views, leadership, LoadSpreadConstraints()),
+        ReassignmentTargets(views, leadership, ControllerReassignmentConstraints(catalog, loadSpread)),
         leadership,
         partitions,
         nowMs,
@@ -207,21 +204,12 @@
     /** Answers a request of another controller. */
     suspend fun handlePeerRequest(request: PeerMessage): PeerMessage = peerRequests.handle(request)
 
-    private inner class LeadershipSurroundings : LeadershipHost {
-        override val canServePartitions get() = catalog.types != null
-        override fun registeredMachines(zone: String) = machines.typesByMachine(zone).keys
-    }
+    /** How many moves of load spread have ended in each state, by kind, in the partitions led now. */
+    fun moveEnds(): Map<Pair<MoveKind, MoveState>, Int> = loadSpread.endedMoveCounts()
 
+    /** Passes changes of leadership on; the activator itself needs the leadership to be built first. */
     private inner class ActivationListener : LeadershipListener {
         override fun leadershipAcquired(acquisition: LeadershipAcquisition) = activator.enqueue(acquisition)
         override fun leadershipLost(zone: String) = activator.deactivate(zone)
     }
-
-    private inner class LoadSpreadConstraints : ReassignmentConstraints {
-        override fun offers(zone: String, spec: JobSpec) = catalog.offers(zone, spec)
-        override fun isDecidedElsewhere(zone: String) = loadSpread.decidesReassignments(zone)
-    }
-
-    /** How many moves of load spread have ended in each state, by kind, in the partitions led now. */
-    fun moveEnds(): Map<Pair<MoveKind, MoveState>, Int> = loadSpread.endedMoveCounts()
 }
--- a/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
+++ b/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
@@ -30,23 +30,13 @@
     fun applyChange(key: String, entry: ReplicaEntry?) {
         when {
             key.startsWith(StoreKeys.JOBS) -> updateJobs(jobs.applyJobChange(key, entry))
-
             key.startsWith(StoreKeys.DEPENDENCIES) -> updateJobs(jobs.applyDependencySegment(key, entry))
-
             key.startsWith(StoreKeys.COMPLETIONS) -> updateCompletions(jobs.applyCompletionSegment(key, entry))
-
             key.startsWith(StoreKeys.MACHINES) -> updateMachines(key.removePrefix(StoreKeys.MACHINES))
-
             key.startsWith(StoreKeys.PARTITIONS) -> updateLeader(key.removePrefix(StoreKeys.PARTITIONS), entry)
-
             key.startsWith(StoreKeys.TAKEOVERS) -> updateTakeover(key.removePrefix(StoreKeys.TAKEOVERS), entry)
-
             key == StoreKeys.MACHINE_TYPES -> updateMachineTypes(entry)
-
-            key.startsWith(
-                StoreKeys.QUOTA_SHARES,
-            ) -> quotaShares.sharesChanged(key.removePrefix(StoreKeys.QUOTA_SHARES))
-
+            key.startsWith(StoreKeys.QUOTA_SHARES) -> updateQuotaShares(key.removePrefix(StoreKeys.QUOTA_SHARES))
             key.startsWith(StoreKeys.PARTITION_LOADS) -> updateLoad(key.removePrefix(StoreKeys.PARTITION_LOADS), entry)
         }
     }
@@ -75,6 +65,8 @@
     private fun updateTakeover(zone: String, entry: ReplicaEntry?) =
         leadership.takeoverMarkers.markerChanged(zone, isPresent = entry != null)
 
+    private fun updateQuotaShares(team: String) = quotaShares.sharesChanged(team)
+
     private fun updateMachineTypes(entry: ReplicaEntry?) {
         if (entry != null) catalog.restore(decodeRecord(MachineTypes.serializer(), entry.value).types)
     }
