--- a/src/main/kotlin/io/otterknot/leadership/LeaderFailureDetector.kt
+++ b/src/main/kotlin/io/otterknot/leadership/LeaderFailureDetector.kt
@@ -39,7 +39,7 @@
     /**
      * Whether the partition may be taken over from its leader, whose workers report here. Of the controllers that see
      * this, one that leads fewer partitions ([ledPartitionCount]) is first. Soon after a change of leader only workers
-     * that returned count: others are on their way still, and late copies of reports reach the leader before.
+     * that returned count: others are on their way still, and late copies of heartbeats go to the earlier leader.
      */
     fun isLeaderFailed(zone: String, ledPartitionCount: Int, nowMs: Long): Boolean {
         if (!haveManyDeparted(zone, nowMs) && !haveManyReturned(zone, nowMs)) {
--- a/src/main/kotlin/io/otterknot/leadership/LeadershipTransfers.kt
+++ b/src/main/kotlin/io/otterknot/leadership/LeadershipTransfers.kt
@@ -18,7 +18,7 @@
     private val policy: AcquisitionPolicy,
     private val nowMs: () -> Long,
 ) {
-    private val log = LoggerFactory.getLogger(PartitionLeadership::class.java)
+    private val log = LoggerFactory.getLogger(LeadershipTransfers::class.java)
 
     /** When a partition was last taken over from this controller although it could act; null if never. */
     private var lastForcedTakeoverMs: Long? = null
--- a/src/main/kotlin/io/otterknot/leadership/LedPartitionTokens.kt
+++ b/src/main/kotlin/io/otterknot/leadership/LedPartitionTokens.kt
@@ -7,7 +7,7 @@
  * token comes and goes, so the listener learns of each acquisition and each loss exactly once.
  */
 internal class LedPartitionTokens(private val listener: LeadershipListener) {
-    private val log = LoggerFactory.getLogger(PartitionLeadership::class.java)
+    private val log = LoggerFactory.getLogger(LedPartitionTokens::class.java)
     private val fencingTokens = HashMap<String, Long>()
 
     val size: Int get() = fencingTokens.size
--- a/src/main/kotlin/io/otterknot/leadership/PartitionAcquirer.kt
+++ b/src/main/kotlin/io/otterknot/leadership/PartitionAcquirer.kt
@@ -28,7 +28,7 @@
     private val policy: AcquisitionPolicy,
     private val nowMs: () -> Long,
 ) {
-    private val log = LoggerFactory.getLogger(PartitionLeadership::class.java)
+    private val log = LoggerFactory.getLogger(PartitionAcquirer::class.java)
     private val leaderRecords = LeaderRecords(replica)
 
     /** Acquires the partition of [zone] on the store lease [leaseId] if it is this controller's turn. */
--- a/src/main/kotlin/io/otterknot/leadership/StoreLeaseKeeper.kt
+++ b/src/main/kotlin/io/otterknot/leadership/StoreLeaseKeeper.kt
@@ -27,7 +27,7 @@
     private val nowMs: () -> Long,
     private val random: Random,
 ) {
-    private val log = LoggerFactory.getLogger(PartitionLeadership::class.java)
+    private val log = LoggerFactory.getLogger(StoreLeaseKeeper::class.java)
 
     /** The lease that the store granted; null until there is one and after it has expired. */
     var leaseId: Long? = null
