--- /dev/null
+++ b/src/test/kotlin/io/otterknot/scheduling/PartitionChooserTest.kt
@@ -0,0 +1,54 @@
+package io.otterknot.scheduling
+
+import io.otterknot.records.TaskSpan
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import kotlin.random.Random
+
+class PartitionChooserTest {
+    @Test
+    fun `partition with an announced idle machine is chosen first and has one less afterwards`() {
+        val partitions = partitionViews(0.9, 0.1, 0.1)
+        partitions[0].idleMachines = 1
+        assertEquals("z0", PartitionChooser.choose(partitions, jobSpec(1), Random(3)).zone)
+        assertEquals(0, partitions[0].idleMachines)
+    }
+
+    @Test
+    fun `of two partitions the one of lower mean load is chosen`() {
+        repeat(20) { seed ->
+            assertEquals("z1", PartitionChooser.choose(partitionViews(0.9, 0.1), jobSpec(1), Random(seed)).zone)
+        }
+    }
+
+    @Test
+    fun `tasks of a large job are dealt to all partitions in similar numbers`() {
+        val spans = PartitionChooser.deal(jobSpec(300), partitionViews(0.0, 0.0, 0.0), Random(5))
+        val taskCounts = spans.map { it.until - it.from }
+        assertEquals(300, taskCounts.sum())
+        assertEquals(3, spans.size, "$spans")
+        assertTrue(taskCounts.all { it in 60..140 }, "$spans")
+    }
+
+    @Test
+    fun `tasks of a job that needs a single zone are dealt to one partition`() {
+        val spec = jobSpec(30, sameZone = true)
+        assertEquals(1, PartitionChooser.deal(spec, partitionViews(0.0, 0.0), Random(1)).size)
+    }
+
+    @Test
+    fun `tasks of a job that names its zone are dealt to the partition of that zone`() {
+        val spec = jobSpec(30, zone = "z1")
+        val spans = PartitionChooser.deal(spec, partitionViews(0.0, 0.0), Random(1))
+        assertEquals(listOf(TaskSpan("z1", 0, 30)), spans)
+    }
+
+    /** Partitions `z0`, `z1` and so on of 64 cores each, with these mean loads. */
+    private fun partitionViews(vararg meanLoads: Double) = meanLoads.mapIndexed { index, meanLoad ->
+        PartitionView("z$index").apply {
+            mean = meanLoad
+            cores = 64.0
+        }
+    }
+}
