--- a/src/main/kotlin/io/otterknot/partition/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -43,7 +43,7 @@
 
     private val trigger: PlacementTrigger = object : PlacementTrigger {
         override fun requestFullPass() = scheduler.invalidate()
-        override fun requestReordering() = scheduler.order.invalidate()
+        override fun requestReordering() = scheduler.queue.invalidate()
     }
     private val unknownUsage = UnknownUsage(registeredMachines, machineTypes)
     private val teams = TeamQuotaLedger(teamQuotas, unknownUsage)
@@ -124,7 +124,7 @@
     fun mayTransferLeadership(now: Long): Boolean = reconciliation.mayTransferLeadership(now)
 
     /** Jobs with waiting tasks, the most urgent first. */
-    fun pendingJobsInOrder(now: Long): List<PartitionJob> = scheduler.order.sorted(jobs, now)
+    fun pendingJobsInOrder(now: Long): List<PartitionJob> = scheduler.queue.sorted(jobs, now)
 
     /** How many more tasks of the job its team's quota share and its own spread allow here now. */
     fun startableTasks(job: PartitionJob): Int = placement.startableTasks(job)
@@ -137,8 +137,8 @@
      * with [beforeAll], and are not stopped for work that is not.
      */
     fun markCovered(now: Long, beforeAll: Boolean, isCovered: (PartitionJob) -> Boolean) {
-        var hasChanged = scheduler.order.coveredBeforeAll != beforeAll
-        scheduler.order.coveredBeforeAll = beforeAll
+        var hasChanged = scheduler.queue.coveredBeforeAll != beforeAll
+        scheduler.queue.coveredBeforeAll = beforeAll
         for (job in jobs) {
             if (job.markCovered(isCovered(job), now)) hasChanged = true
         }
--- a/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
@@ -2,7 +2,7 @@
 
 import io.otterknot.leadership.PartitionLeadership
 import io.otterknot.partition.Partition
-import io.otterknot.scheduling.LongWait
+import io.otterknot.scheduling.LongWaitPolicy
 import io.otterknot.scheduling.PartitionJob
 import io.otterknot.scheduling.PartitionView
 import kotlinx.coroutines.delay
@@ -75,8 +75,8 @@
         val spec = job.spec
         val targetMean = target.meanFor(spec)
         val gap = load.meanFor(spec) - targetMean
-        val hasWaitedLong = LongWait.mayMove((wallMs() - job.readyMs) / MS_PER_S, targetMean)
-        val minGap = if (hasWaitedLong) LongWait.LEAST_GAP else MIN_GAP
+        val hasWaitedLong = LongWaitPolicy.mayMove((wallMs() - job.readyMs) / MS_PER_S, targetMean)
+        val minGap = if (hasWaitedLong) LongWaitPolicy.MIN_MEAN_GAP else MIN_GAP
         if (gap < minGap) return null
         // Half of the gap, in cores of the smaller partition: both means then meet, and nothing swings back.
         val targetCores = if (spec.spot) target.cores else target.ordinaryCores
--- a/src/main/kotlin/io/otterknot/rebalance/ReassignmentPlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/ReassignmentPlanner.kt
@@ -1,7 +1,7 @@
 package io.otterknot.rebalance
 
 import io.otterknot.config.LoadSpreadSettings
-import io.otterknot.scheduling.LongWait
+import io.otterknot.scheduling.LongWaitPolicy
 
 /**
  * Decides which waiting tasks are reassigned to which partition: the one where they are expected to start sooner, the
@@ -72,7 +72,8 @@
             val meanThere = cluster.partitions.getValue(target.zone).meanFor(job.spec)
             val meanHere = cluster.partitions.getValue(snapshot.zone).meanFor(job.spec)
             // No task waits long while another partition has capacity, however small the gain.
-            val isOverdue = LongWait.mayMove(job.waitedS, meanThere) && meanHere - meanThere > LongWait.LEAST_GAP
+            val isOverdue =
+                LongWaitPolicy.mayMove(job.waitedS, meanThere) && meanHere - meanThere > LongWaitPolicy.MIN_MEAN_GAP
             return if (isOverdue) MoveReason.OVERDUE else null
         }
 
--- a/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
@@ -1,201 +1,187 @@
 package io.otterknot.scheduling
 
-import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
 import kotlin.random.Random
 
 /**
- * Where the tasks of one job may go now, in groups of which the first that has room is taken: machines that have its
- * image before others, since a fetch holds the task's cores for as long as it takes; and where some work may run on
- * ordinary machines only, spot machines before those.
- */
-class JobCandidates(machines: List<Machine>, spec: JobSpec, spotFirst: Boolean, fits: (Machine) -> Boolean) {
-    private val groups = ArrayList<PlacementCandidates<Machine>>()
-
-    init {
-        val kinds = if (spec.spot && spotFirst) machines.partition { it.spot }.toList() else listOf(machines)
-        for (kind in kinds) {
-            groups.add(PlacementCandidates(kind.filter { spec.image in it.images }, fits))
-            groups.add(PlacementCandidates(kind, fits))
-        }
-    }
-
-    fun choose(random: Random, spec: JobSpec): Machine? =
-        groups.firstNotNullOfOrNull { group -> group.choose(random) { it.share(spec) } }
-}
-
-/** What the scheduler asks of the ledger and tells it. */
-interface PlacementLedger {
-    val machines: List<Machine>
-    val jobs: List<PartitionJob>
-
-    /** How many more tasks of the job its team's limit and its own spread allow here now. */
-    fun startableTasks(job: PartitionJob): Int
-
-    /** What the team uses, by its share. */
-    fun pressure(team: Int): Double
-
-    /** Books the job's next waiting task on [machine]. */
-    fun book(job: PartitionJob, machine: Machine, now: Long): Attempt
-
-    /** Stops the attempt so that something more urgent gets its room. */
-    fun stop(attempt: Attempt)
-}
-
-/**
- * Places what waits in a partition. A task that waits fits nowhere, or it would have been placed: so when a report
- * frees room, only that machine is looked at, and all machines only once something has come to wait or the time is up.
+ * Places the pending tasks of a partition. Does no I/O and reads no clock.
+ *
+ * A task that is pending fits nowhere, or it would have been placed. So when a heartbeat frees room, only its machine is
+ * looked at; all machines are, once something has become pending or every [FULL_PASS_MS].
+ *
+ * @param wallTimeOf the time of day, in milliseconds, of a moment of the steady clock
  */
 class Scheduler(
     private val ledger: PlacementLedger,
-    private val aims: ServiceLevelObjectives,
-    private val wallOf: (Long) -> Long,
+    private val objectives: ServiceLevelObjectives,
+    private val wallTimeOf: (Long) -> Long,
     private val random: Random,
 ) {
-    val order = SchedulingQueue(aims, wallOf)
-    private val roomMaker = Preemptor(
-        startable = { minOf(it.pendingCount, ledger.startableTasks(it)) },
-        patient = { wallOf(passMs) - it.readyMs < aims.patienceMs(it.spec) },
+    /** The order in which pending jobs are served. */
+    val queue = SchedulingQueue(objectives, wallTimeOf)
+    private val preemptor = Preemptor(
+        startableTasks = { minOf(it.pendingCount, ledger.startableTasks(it)) },
+        isPatient = { wallTimeOf(lastFullPassMs) - it.readyMs < objectives.patienceMs(it.spec) },
         stop = ledger::stop,
     )
-    private var dirty = true
-    private var passMs = Long.MIN_VALUE / 2
-    private var roomMs = Long.MIN_VALUE / 2
+    private var needsFullPass = true
+    private var lastFullPassMs = Long.MIN_VALUE / 2
+    private var lastPreemptionMs = Long.MIN_VALUE / 2
 
-    /** Some work here may run on ordinary machines only. */
-    private var ordinaryWork = false
+    /** Some job here must not use spot instances, so those are taken first by jobs that may. */
+    private var hasOrdinaryWork = false
 
-    /** Something has come to wait, or fits where it did not. */
+    /** Something has become pending, or fits where it did not: the next pass looks at all machines. */
     fun invalidate() {
-        dirty = true
-        order.invalidate()
+        needsFullPass = true
+        queue.invalidate()
     }
 
-    /** After a report of [machine]. */
+    /** Places pending tasks on [machine], whose heartbeat has just come in. */
     fun placeOn(machine: Machine, now: Long) {
-        if (dirty || now - passMs >= PASS_MS) return placeAll(now)
-        order.refresh(ledger.jobs, now)
-        if (!machine.acceptsTasks || order.empty || !open(machine)) return
-        place(now, machine)
+        if (needsFullPass || now - lastFullPassMs >= FULL_PASS_MS) return placeAll(now)
+        queue.refresh(ledger.jobs, now)
+        if (!machine.acceptsTasks || queue.isEmpty || !mayHaveRoom(machine)) return
+        PlacementPass(listOf(machine), machine, now).run()
     }
 
-    /** One task to a machine of which answers seemed lost: whether it starts tells. */
+    /** Places one task on a machine that seems to lose responses: whether it starts tells. */
     fun probe(machine: Machine, now: Long) {
-        order.refresh(ledger.jobs, now)
+        queue.refresh(ledger.jobs, now)
         for (priority in Priority.entries) {
-            for (queue in order.queues(priority)) {
-                for (job in queue.jobs) {
-                    if (mayStart(job, now) && fits(job, machine, now)) {
-                        ledger.book(job, machine, now)
-                        return
-                    }
-                }
+            for (teamQueue in queue.queues(priority)) {
+                val job = teamQueue.jobs.firstOrNull { mayStart(it, now) && fits(it, machine, now) } ?: continue
+                ledger.book(job, machine, now)
+                return
             }
         }
     }
 
-    /** All that waits, on all machines. */
+    /** Places pending tasks on all machines, preempting where the rules allow it. */
     fun placeAll(now: Long) {
-        dirty = false
-        passMs = now
-        order.refresh(ledger.jobs, now)
-        if (order.empty) return
-        ordinaryWork = ledger.jobs.any { !it.spec.spot }
-        place(now, null)
+        needsFullPass = false
+        lastFullPassMs = now
+        queue.refresh(ledger.jobs, now)
+        if (queue.isEmpty) return
+        hasOrdinaryWork = ledger.jobs.any { !it.spec.spot }
+        // The candidates of an earlier pass are out of date.
+        ledger.jobs.forEach { it.candidates = null }
+        PlacementPass(ledger.machines.filter { it.acceptsTasks }, null, now).run()
     }
 
-    /** It has room for the least that waits. */
-    private fun open(machine: Machine) = machine.usedCores + order.leastCores <= machine.type.cores + Machine.EPSILON
-
-    private fun place(now: Long, only: Machine?) {
-        val usable = if (only != null) listOf(only) else ledger.machines.filter { it.acceptsTasks }
-        // When more is asked than can be done most machines are full, and each waiting job would look at all of them.
-        val open = usable.filter(::open)
-        // Without this, the work of one pass would decide on the candidates of another.
-        if (only == null) ledger.jobs.forEach { it.candidates = null }
-        for (job in order.overdue) {
-            if (!job.neverStarted || !mayStart(job, now)) continue
-            // Room that is held for more urgent work does not count here, or the job would wait behind it for ever.
-            val fitting = open.filter {
-                it.isAllowedFor(job.spec) && it.hasRoomFor(job.spec) && !it.avoids(job.id, now)
+    /** It has room for the smallest pending task. */
+    private fun mayHaveRoom(machine: Machine): Boolean =
+        machine.usedCores + queue.leastCores <= machine.type.cores + Machine.EPSILON
+
+    private fun mayStart(job: PartitionJob, now: Long): Boolean =
+        !job.pending.isEmpty && job.retryAtMs <= now && ledger.startableTasks(job) > 0
+
+    private fun fits(job: PartitionJob, machine: Machine, now: Long): Boolean =
+        machine.isAllowedFor(job.spec) && hasRoom(job, machine) && !machine.avoids(job.id, now)
+
+    private fun hasRoom(job: PartitionJob, machine: Machine): Boolean =
+        if (queue.ignoresReservations(job)) machine.hasRoomFor(job.spec) else machine.hasUnreservedRoomFor(job.spec)
+
+    /** One pass over the queue at the moment [now], on [usable] machines; [only]: the single machine it looks at. */
+    private inner class PlacementPass(
+        private val usable: List<Machine>,
+        private val only: Machine?,
+        private val now: Long,
+    ) {
+        /** Under overload most machines are full, and each pending job would look at all of them. */
+        private val withRoom = usable.filter(::mayHaveRoom)
+
+        fun run() {
+            startOverdueJobs()
+            // Work within its team's guaranteed quota need not wait for other teams.
+            if (queue.coveredBeforeAll) Priority.entries.forEach { serve(queue.coveredQueues(it)) }
+            val preempts = only == null && now - lastPreemptionMs >= PREEMPTION_MS
+            if (preempts) lastPreemptionMs = now
+            for (priority in Priority.entries) {
+                serve(queue.coveredQueues(priority))
+                serve(queue.queues(priority))
+                if (preempts && priority < Priority.BEST_EFFORT) preemptFor(priority)
             }
-            val machine = JobCandidates(fitting, job.spec, ordinaryWork) { true }.choose(random, job.spec) ?: continue
-            ledger.book(job, machine, now).protectFromPreemption()
         }
-        // Work within a team's guarantee need not wait for other teams.
-        if (order.coveredBeforeAll) {
-            for (priority in Priority.entries) serve(order.coveredQueues(priority), open, only, now)
-        }
-        val makingRoom = only == null && now - roomMs >= ROOM_MS
-        if (makingRoom) roomMs = now
-        for (priority in Priority.entries) {
-            val queues = order.queues(priority)
-            serve(order.coveredQueues(priority), open, only, now)
-            serve(queues, open, only, now)
-            if (makingRoom && priority < Priority.BEST_EFFORT) {
-                val waiting = queues.flatMap { queue ->
-                    queue.jobs.filter { !it.pending.isEmpty && it.retryAtMs <= now }
+
+        /**
+         * Starts one task of each job that has not begun for long. Room that is reserved for more urgent work counts as
+         * free here, or the job would wait behind that work for ever.
+         */
+        private fun startOverdueJobs() {
+            for (job in queue.overdue) {
+                if (!job.neverStarted || !mayStart(job, now)) continue
+                val fitting = withRoom.filter {
+                    it.isAllowedFor(job.spec) && it.hasRoomFor(job.spec) && !it.avoids(job.id, now)
                 }
-                roomMaker.make(priority, waiting, usable, now)
+                val candidates = JobCandidates(fitting, job.spec, hasOrdinaryWork) { true }
+                val machine = candidates.choose(random, job.spec) ?: continue
+                ledger.book(job, machine, now).protectFromPreemption()
             }
         }
-    }
 
-    /**
-     * Serves [queues] in turn by the teams' shares. After a report of one machine alone, [only], a job whose image that
-     * machine has may come before others that are as urgent.
-     */
-    private fun serve(queues: List<SchedulingQueue.Queue>, open: List<Machine>, only: Machine?, now: Long) {
-        for (queue in queues) queue.next = 0
-        while (true) {
-            val queue = nextInTurn(queues) ?: return
-            val job = if (only == null) {
-                queue.jobs[queue.next]
-            } else {
-                queue.pick { it.spec.image in only.images && mayStart(it, now) && fits(it, only, now) }
+        private fun preemptFor(priority: Priority) {
+            val pending = queue.queues(priority).flatMap { teamQueue ->
+                teamQueue.jobs.filter { !it.pending.isEmpty && it.retryAtMs <= now }
             }
-            if (!mayStart(job, now) || placeOne(job, open, only, now) == null) queue.next++
+            preemptor.makeRoom(priority, pending, usable, now)
         }
-    }
 
-    private fun nextInTurn(queues: List<SchedulingQueue.Queue>): SchedulingQueue.Queue? {
-        var chosen: SchedulingQueue.Queue? = null
-        var least = Double.MAX_VALUE
-        for (queue in queues) {
-            if (queue.head == null) continue
-            val pressure = ledger.pressure(queue.team)
-            if (chosen == null || pressure < least) {
-                chosen = queue
-                least = pressure
+        /** Serves [teamQueues] by fair share, until each has come to its end. */
+        private fun serve(teamQueues: List<SchedulingQueue.TeamQueue>) {
+            for (teamQueue in teamQueues) teamQueue.next = 0
+            while (true) {
+                val teamQueue = leastServed(teamQueues) ?: return
+                val job = nextJob(teamQueue)
+                if (!mayStart(job, now) || place(job) == null) teamQueue.next++
             }
         }
-        return chosen
-    }
 
-    private fun mayStart(job: PartitionJob, now: Long) =
-        !job.pending.isEmpty && job.retryAtMs <= now && ledger.startableTasks(job) > 0
+        /** The queue, not at its end yet, of the team that uses least for its weight; null: all are at their end. */
+        private fun leastServed(teamQueues: List<SchedulingQueue.TeamQueue>): SchedulingQueue.TeamQueue? {
+            var chosen: SchedulingQueue.TeamQueue? = null
+            var leastPressure = Double.MAX_VALUE
+            for (teamQueue in teamQueues) {
+                if (teamQueue.head == null) continue
+                val pressure = ledger.pressure(teamQueue.team)
+                if (chosen == null || pressure < leastPressure) {
+                    chosen = teamQueue
+                    leastPressure = pressure
+                }
+            }
+            return chosen
+        }
 
-    private fun fits(job: PartitionJob, machine: Machine, now: Long) =
-        machine.isAllowedFor(job.spec) && hasRoom(job, machine) && !machine.avoids(job.id, now)
+        /** On a single machine, a job whose image it has may come before others that are as urgent. */
+        private fun nextJob(teamQueue: SchedulingQueue.TeamQueue): PartitionJob {
+            if (only == null) return teamQueue.jobs[teamQueue.next]
+            return teamQueue.pick { it.spec.image in only.images && mayStart(it, now) && fits(it, only, now) }
+        }
 
-    private fun hasRoom(job: PartitionJob, machine: Machine): Boolean =
-        if (order.ignoresHeldRoom(job)) machine.hasRoomFor(job.spec) else machine.hasUnreservedRoomFor(job.spec)
-
-    private fun placeOne(job: PartitionJob, open: List<Machine>, only: Machine?, now: Long): Attempt? {
-        val machine = if (only != null) {
-            only.takeIf { fits(job, it, now) }?.also { it.addLoad(it.share(job.spec)) }
-        } else {
-            val candidates =
-                job.candidates
-                    ?: JobCandidates(open, job.spec, ordinaryWork) { fits(job, it, now) }.also { job.candidates = it }
-            candidates.choose(random, job.spec)
-        } ?: return null
-        machine.reserved(job.spec.priority).subtractDownToZero(job.spec)
-        return ledger.book(job, machine, now)
+        private fun place(job: PartitionJob): Attempt? {
+            val machine = (if (only == null) chooseMachine(job) else takeIfFits(job, only)) ?: return null
+            machine.reserved(job.spec.priority).subtractDownToZero(job.spec)
+            return ledger.book(job, machine, now)
+        }
+
+        private fun takeIfFits(job: PartitionJob, machine: Machine): Machine? {
+            if (!fits(job, machine, now)) return null
+            machine.addLoad(machine.share(job.spec))
+            return machine
+        }
+
+        private fun chooseMachine(job: PartitionJob): Machine? {
+            val candidates = job.candidates ?: findCandidates(job).also { job.candidates = it }
+            return candidates.choose(random, job.spec)
+        }
+
+        private fun findCandidates(job: PartitionJob) =
+            JobCandidates(withRoom, job.spec, hasOrdinaryWork) { fits(job, it, now) }
     }
 
     private companion object {
-        const val PASS_MS = 1_000L
-        const val ROOM_MS = 250L
+        /** How long pending tasks rely on being placed by the heartbeat of the machine that frees room. */
+        const val FULL_PASS_MS = 1_000L
+        const val PREEMPTION_MS = 250L
     }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
@@ -3,129 +3,150 @@
 import io.otterknot.wire.Priority
 
 /**
- * The order in which waiting jobs are served: priority, then teams in turn by shares, then by [rank], then least work
- * left. Sorting at every report would cost more than the placement itself, so the order is kept for
- * [KEEP_MS] unless a job comes to wait.
+ * The order in which the pending jobs of a partition are served:
+ *
+ * 1. by priority;
+ * 2. among the teams of one priority by fair share (the scheduler takes turns between the [TeamQueue]s);
+ * 3. within a team by [PartitionJob.objectiveRank]: what is about to miss an objective, then what has missed fewest,
+ *    last what has none left to meet;
+ * 4. by the least remaining work, then the earliest submission, then the id.
+ *
+ * Sorting at every heartbeat would cost more than the placement itself, so the order is kept for [MAX_AGE_MS] unless a
+ * job becomes pending.
  */
-class SchedulingQueue(private val aims: ServiceLevelObjectives, private val wallOf: (Long) -> Long) {
-    class Queue(val team: Int) {
+class SchedulingQueue(private val objectives: ServiceLevelObjectives, private val wallTimeOf: (Long) -> Long) {
+    /** The pending jobs of one [team] and priority, in order. */
+    class TeamQueue(val team: Int) {
         val jobs = ArrayList<PartitionJob>()
+
+        /** The place of the job to be served next. */
         var next = 0
+
+        /** The job to be served next; null: the queue is at its end. */
         val head: PartitionJob? get() = jobs.getOrNull(next)
 
         /**
-         * The head, or one of the next few that are as urgent as it and that [suits] likes better. Strictly in order,
-         * the tasks of each job would go to all machines one after the other and its image be fetched by each.
+         * The head, or one of the next few that rank the same and are [preferred]. Strictly in order, the tasks of each
+         * job would go to all machines one after the other, and its image be fetched by each.
          */
-        fun pick(suits: (PartitionJob) -> Boolean): PartitionJob {
+        fun pick(preferred: (PartitionJob) -> Boolean): PartitionJob {
             val head = jobs[next]
-            if (suits(head)) return head
-            for (at in next + 1 until minOf(jobs.size, next + LOOK)) {
-                val job = jobs[at]
+            if (preferred(head)) return head
+            for (place in next + 1 until minOf(jobs.size, next + LOOKAHEAD_JOBS)) {
+                val job = jobs[place]
                 if (job.objectiveRank != head.objectiveRank) break
-                if (suits(job)) return job
+                if (preferred(job)) return job
             }
             return head
         }
     }
 
-    private val queues = Array(Priority.entries.size) { ArrayList<Queue>() }
+    private val queuesByPriority = Array(Priority.entries.size) { ArrayList<TeamQueue>() }
 
-    /** Of the jobs within their team's guarantee alone. */
-    private val coveredQueues = Array(Priority.entries.size) { ArrayList<Queue>() }
-    private var madeMs = Long.MIN_VALUE / 2
-    private var stale = true
+    /** Of the jobs within their team's guaranteed quota alone. */
+    private val coveredQueuesByPriority = Array(Priority.entries.size) { ArrayList<TeamQueue>() }
+    private var sortedMs = Long.MIN_VALUE / 2
+    private var isStale = true
 
-    /** The least cores that any waiting task takes: a machine with fewer free has nothing to look for. */
+    /** The fewest cores that a pending task takes: a machine with fewer free has nothing to look for. */
     var leastCores = 0.0
         private set
 
     /**
-     * Jobs of which nothing has begun for long. Each gets one task before all others: with small jobs arriving all the
-     * time, the largest would never begin, and best-effort work never under a steady load of urgent work.
+     * Jobs of which no task has started for [OVERDUE_MS]. Each gets one task before all others: with small jobs arriving
+     * all the time, the largest would never start, and best-effort work never under a steady load of urgent work.
      */
     val overdue = ArrayList<PartitionJob>()
 
-    /** Work within a team's guarantee goes before all other work; else only before what is as urgent. */
+    /** Work within a team's guaranteed quota goes before all other work; else only before work of its priority. */
     var coveredBeforeAll = false
 
-    /** The most urgent priority of the jobs that wait and are not within their team's guarantee; null: all are. */
+    /** The most urgent priority of the pending jobs beyond their team's guaranteed quota; null: there are none. */
     private var mostUrgentUncovered: Priority? = null
 
+    /** Whether nothing is pending. */
+    val isEmpty: Boolean get() = leastCores == Double.MAX_VALUE
+
     /**
-     * Whether a job goes before work that is more urgent and for which room is held: it is within its team's guarantee,
-     * and some of that work is not.
+     * Whether [job] goes before more urgent work that room is reserved for: it is within its team's guaranteed quota, and
+     * some of that work is not.
      */
-    fun ignoresHeldRoom(job: PartitionJob): Boolean =
+    fun ignoresReservations(job: PartitionJob): Boolean =
         coveredBeforeAll && job.covered && mostUrgentUncovered?.let { it < job.spec.priority } ?: false
 
-    val empty: Boolean get() = leastCores == Double.MAX_VALUE
-
+    /** Something has changed that the order depends on. */
     fun invalidate() {
-        stale = true
+        isStale = true
     }
 
-    fun queues(priority: Priority): List<Queue> = queues[priority.ordinal]
+    /** The queues of one priority, one for each team. */
+    fun queues(priority: Priority): List<TeamQueue> = queuesByPriority[priority.ordinal]
 
-    fun coveredQueues(priority: Priority): List<Queue> = coveredQueues[priority.ordinal]
+    /** The same with jobs within their team's guaranteed quota alone. */
+    fun coveredQueues(priority: Priority): List<TeamQueue> = coveredQueuesByPriority[priority.ordinal]
 
+    /** Sorts [jobs] anew if the order is out of date. */
     fun refresh(jobs: List<PartitionJob>, now: Long) {
-        if (!stale && now - madeMs < KEEP_MS) return
-        stale = false
-        madeMs = now
+        if (!isStale && now - sortedMs < MAX_AGE_MS) return
+        isStale = false
+        sortedMs = now
         leastCores = Double.MAX_VALUE
         overdue.clear()
         mostUrgentUncovered = null
-        coveredQueues.forEach { it.clear() }
-        queues.forEach { it.clear() }
-        for (job in sorted(jobs, now)) {
-            leastCores = minOf(leastCores, job.spec.cores)
-            if (job.neverStarted && wallOf(now) - job.readyMs > BEGIN_MS) overdue.add(job)
-            add(job, queues)
-            if (job.covered) {
-                add(job, coveredQueues)
-            } else {
-                mostUrgentUncovered = listOfNotNull(mostUrgentUncovered, job.spec.priority).min()
-            }
+        coveredQueuesByPriority.forEach { it.clear() }
+        queuesByPriority.forEach { it.clear() }
+        for (job in sorted(jobs, now)) enqueue(job, now)
+    }
+
+    private fun enqueue(job: PartitionJob, now: Long) {
+        leastCores = minOf(leastCores, job.spec.cores)
+        if (job.neverStarted && wallTimeOf(now) - job.readyMs > OVERDUE_MS) overdue.add(job)
+        append(job, queuesByPriority)
+        if (job.covered) {
+            append(job, coveredQueuesByPriority)
+        } else {
+            mostUrgentUncovered = listOfNotNull(mostUrgentUncovered, job.spec.priority).min()
         }
     }
 
-    private fun add(job: PartitionJob, to: Array<ArrayList<Queue>>) {
-        val level = to[job.spec.priority.ordinal]
-        (level.firstOrNull { it.team == job.team } ?: Queue(job.team).also(level::add)).jobs.add(job)
+    private fun append(job: PartitionJob, queues: Array<ArrayList<TeamQueue>>) {
+        val teamQueues = queues[job.spec.priority.ordinal]
+        val teamQueue = teamQueues.firstOrNull { it.team == job.team } ?: TeamQueue(job.team).also(teamQueues::add)
+        teamQueue.jobs.add(job)
     }
 
-    /** Jobs of which tasks wait, the most urgent first. */
+    /** The jobs with pending tasks, in the order above but for the teams' turns. */
     fun sorted(jobs: List<PartitionJob>, now: Long): List<PartitionJob> {
-        val wall = wallOf(now)
-        val waiting = ArrayList<PartitionJob>()
+        val wallMs = wallTimeOf(now)
+        val pending = ArrayList<PartitionJob>()
         for (job in jobs) {
             if (job.pending.isEmpty) continue
-            val missed = aims.missed(job, wall)
-            job.updateSortKeys(missed, rank(missed, aims.slackS(job, wall)))
-            waiting.add(job)
+            val missedCount = objectives.missed(job, wallMs)
+            job.updateSortKeys(missedCount, rank(missedCount, objectives.slackS(job, wallMs)))
+            pending.add(job)
         }
-        waiting.sortWith(ORDER)
-        return waiting
+        pending.sortWith(ORDER)
+        return pending
     }
 
     /**
-     * First what is about to miss an aim, whichever that is; then the others by how many they have missed; last what
-     * has none left. By missed aims alone a job late once would wait behind all that are new until it is late for good,
-     * while most of those could wait.
+     * By missed objectives alone, a job late once would wait behind all that are new until it is late for good, while
+     * most of those could wait.
      */
-    private fun rank(missedAims: Int, slackS: Double?): Int = when {
+    private fun rank(missedCount: Int, slackS: Double?): Int = when {
         slackS == null -> Int.MAX_VALUE
-        slackS < SOON_S -> 0
-        else -> 1 + missedAims
+        slackS < IMMINENT_S -> 0
+        else -> 1 + missedCount
     }
 
-    companion object {
-        private const val KEEP_MS = 500L
-        private const val LOOK = 10
-        private const val SOON_S = 30.0
-        private const val BEGIN_MS = 90_000L
-        private val ORDER = compareBy<PartitionJob> { it.spec.priority }
+    private companion object {
+        const val MAX_AGE_MS = 500L
+        const val LOOKAHEAD_JOBS = 10
+
+        /** An objective that would be missed this soon is about to be missed. */
+        const val IMMINENT_S = 30.0
+        const val OVERDUE_MS = 90_000L
+        val ORDER = compareBy<PartitionJob> { it.spec.priority }
             .thenBy { it.objectiveRank }
             .thenBy { it.remainingCoreSeconds }
             .thenBy { it.submittedMs }
