--- a/src/main/kotlin/io/otterknot/scheduling/Machine.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Machine.kt
@@ -11,7 +11,7 @@
  * Its leader's [io.otterknot.partition.Partition] alone changes it, on the controller's event loop; each change of
  * state is one named transition below. [firstSeenMs] is when its first heartbeat came in.
  */
-@Suppress("TooManyFunctions") // each change of a machine's state is one named transition; its room is part of the same ledger
+@Suppress("TooManyFunctions") // each change of its state is one named transition of the same ledger
 class Machine(
     val id: String,
     val type: MachineType,
--- a/src/test/kotlin/io/otterknot/scheduling/HeartbeatHistoryTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/HeartbeatHistoryTest.kt
@@ -1,6 +1,5 @@
-package io.otterknot.scheduling
+package io.otterknot.partition
 
-import io.otterknot.partition.HeartbeatHistory
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
--- a/src/test/kotlin/io/otterknot/scheduling/TaskSpansTest.kt
+++ b/src/test/kotlin/io/otterknot/records/TaskSpansTest.kt
@@ -1,7 +1,5 @@
-package io.otterknot.scheduling
+package io.otterknot.records
 
-import io.otterknot.records.TaskSpan
-import io.otterknot.records.TaskSpans
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import java.util.BitSet
