--- a/src/main/kotlin/io/otterknot/config/LoadSpreadSettings.kt
+++ b/src/main/kotlin/io/otterknot/config/LoadSpreadSettings.kt
@@ -1,11 +1,11 @@
 package io.otterknot.config
 
-/** How far load spread goes. */
+/** How far load spread (package `rebalance`) goes. */
 enum class LoadSpreadMode {
     /** Nothing of it runs. */
     OFF,
 
-    /** It measures, plans and tells what it would do, and changes nothing. */
+    /** It measures and plans, logs its plans, and changes nothing. */
     OBSERVE,
 
     /** It carries its plans out. */
@@ -15,35 +15,35 @@
 /** The section `load-spread` of the operators' file. */
 data class LoadSpreadSettings(
     val mode: LoadSpreadMode = LoadSpreadMode.OFF,
-    /** Whether waiting tasks are handed over by what they would gain, in place of the means alone. */
-    val handOvers: Boolean = true,
-    /** Whether work within a team's guarantee goes first, and other teams' work above theirs is stopped for it. */
+    /** Whether pending tasks are reassigned by the wait that they would save; else by the mean loads alone. */
+    val reassignsTasks: Boolean = true,
+    /** Whether work within a team's guaranteed quota goes first, and work of teams above theirs is preempted for it. */
     val guarantees: Boolean = true,
     /** Whether tasks on machines that are being emptied are stopped where they end sooner elsewhere. */
     val drains: Boolean = true,
     /**
-     * Whether work within a guarantee goes before more urgent work of teams above theirs, and such work may be stopped
+     * Whether work within a guaranteed quota goes before more urgent work of teams above theirs, which may be preempted
      * for it; else only before work, and for work, that is no more urgent.
      */
     val anyPriority: Boolean = false,
     val planEveryS: Double = 1.0,
-    /** What a move has to gain at the least. */
+    /** The least gain of a move, in seconds. */
     val marginS: Double = 3.0,
-    /** How long a handover takes until the task may start. */
-    val handOverDelayS: Double = 2.0,
+    /** How long a reassignment takes until the task may start, in seconds. */
+    val reassignmentDelayS: Double = 2.0,
     /** What a second of fetching counts, against one of waiting: it holds the task's cores. */
     val fetchWeight: Double = 1.0,
     /** What a second of lost work counts, against one of waiting. */
     val lostWorkWeight: Double = 1.5,
-    /** How long a job's tasks stay where they were handed to. */
+    /** How long a job's tasks stay where they were reassigned to, in seconds. */
     val returnAfterS: Double = 30.0,
-    /** How long a task that was stopped is not stopped again. */
+    /** How long a task that was stopped is not stopped again, in seconds. */
     val taskCooldownS: Double = 120.0,
-    /** How long work within a guarantee waits before other work is stopped for it. */
+    /** How long work within a guaranteed quota waits before other work is preempted for it, in seconds. */
     val patienceS: Double = 1.5,
     /** A task that ends sooner than this is not stopped: its room comes by itself. */
     val leastRemainingS: Double = 4.0,
-    val handOversPerPlan: Int = 3,
+    val reassignmentsPerPlan: Int = 3,
     /** Of the tasks that run in a partition, how many may be being stopped at a time. */
     val partitionStopShare: Double = 0.05,
     /** The same of one team's tasks there. */
@@ -70,20 +70,20 @@
             val default = LoadSpreadSettings()
             return LoadSpreadSettings(
                 mode = section.choice("mode", default.mode, LoadSpreadMode.entries),
-                handOvers = section.flag("hand-overs", default.handOvers),
+                reassignsTasks = section.flag("hand-overs", default.reassignsTasks),
                 guarantees = section.flag("guarantees", default.guarantees),
                 drains = section.flag("drains", default.drains),
                 anyPriority = section.flag("any-priority", default.anyPriority),
                 planEveryS = section.number("plan-every-s", default.planEveryS, 0.2..60.0),
                 marginS = section.number("margin-s", default.marginS, SECONDS),
-                handOverDelayS = section.number("hand-over-delay-s", default.handOverDelayS, SECONDS),
+                reassignmentDelayS = section.number("hand-over-delay-s", default.reassignmentDelayS, SECONDS),
                 fetchWeight = section.number("fetch-weight", default.fetchWeight, WEIGHT),
                 lostWorkWeight = section.number("lost-work-weight", default.lostWorkWeight, WEIGHT),
                 returnAfterS = section.number("return-after-s", default.returnAfterS, SECONDS),
                 taskCooldownS = section.number("task-cooldown-s", default.taskCooldownS, SECONDS),
                 patienceS = section.number("patience-s", default.patienceS, SECONDS),
                 leastRemainingS = section.number("least-remaining-s", default.leastRemainingS, SECONDS),
-                handOversPerPlan = section.count("hand-overs-per-plan", default.handOversPerPlan, COUNT),
+                reassignmentsPerPlan = section.count("hand-overs-per-plan", default.reassignmentsPerPlan, COUNT),
                 partitionStopShare = section.number("partition-stop-share", default.partitionStopShare, SHARE),
                 teamStopShare = section.number("team-stop-share", default.teamStopShare, SHARE),
                 jobStopShare = section.number("job-stop-share", default.jobStopShare, SHARE),
--- a/src/main/kotlin/io/otterknot/config/Settings.kt
+++ b/src/main/kotlin/io/otterknot/config/Settings.kt
@@ -54,7 +54,7 @@
 @Serializable
 data class ObjectiveSettings(
     val kind: String,
-    @SerialName("class") val jobKind: String? = null,
+    @SerialName("class") val jobClass: String? = null,
     @SerialName("within_s") val withinS: Double? = null,
     val share: Double? = null,
     val times: Double? = null,
@@ -63,7 +63,7 @@
 /** The workers' timing in seconds: heartbeat interval, lease, and how long a confirmed cancellation may take. */
 @Serializable
 data class WorkerSettings(
-    @SerialName("report_s") val reportS: Double,
+    @SerialName("report_s") val heartbeatS: Double,
     @SerialName("lease_s") val leaseS: Double,
     @SerialName("cancel_s") val cancelS: Double,
 )
--- a/src/main/kotlin/io/otterknot/config/SettingsFile.kt
+++ b/src/main/kotlin/io/otterknot/config/SettingsFile.kt
@@ -73,7 +73,7 @@
     }
 
     private fun checkWorkers(workers: WorkerSettings) {
-        demand(workers.reportS > 0 && workers.leaseS > 0, "facts.workers: report_s and lease_s must be above 0")
+        demand(workers.heartbeatS > 0 && workers.leaseS > 0, "facts.workers: report_s and lease_s must be above 0")
         demand(
             workers.cancelS > workers.leaseS + MIN_FAILOVER_S,
             "facts.workers: cancel_s leaves no room for lease_s and a take-over",
--- a/src/main/kotlin/io/otterknot/controller/WorkerTimings.kt
+++ b/src/main/kotlin/io/otterknot/controller/WorkerTimings.kt
@@ -8,4 +8,4 @@
 internal val WorkerSettings.leaseMs: Long get() = (leaseS * MS_PER_S).toLong()
 
 /** The time between two heartbeats of a machine, in milliseconds. */
-internal val WorkerSettings.heartbeatPeriodMs: Long get() = (reportS * MS_PER_S).toLong()
+internal val WorkerSettings.heartbeatPeriodMs: Long get() = (heartbeatS * MS_PER_S).toLong()
--- a/src/main/kotlin/io/otterknot/leadership/Fence.kt
+++ b/src/main/kotlin/io/otterknot/leadership/Fence.kt
@@ -3,7 +3,7 @@
 /**
  * Until when this controller may act as a leader, by its own steady clock.
  *
- * Keeps "nobody else owns the partition before the fence ends" (`docs/design.md`, "One owner at a time"): the time is
+ * Keeps "nobody else leads the partition before the fence ends" (`docs/design.md`, "One leader at a time"): the time is
  * counted from the moment at which a successful renewal was *sent*. The store cannot have started the lease's time to
  * live before that moment, so the fence ends before the lease does, whatever the drift of both clocks.
  *
--- a/src/main/kotlin/io/otterknot/leadership/PartitionAcquirer.kt
+++ b/src/main/kotlin/io/otterknot/leadership/PartitionAcquirer.kt
@@ -16,7 +16,7 @@
  *
  * An acquisition puts the leader record by a transaction that is guarded by the record's version (or absence) and
  * depends on the store lease; its revision is the fencing token. So of two controllers that see the same record only one
- * acquires the partition, and the fencing token rises with each change of leader (`docs/design.md`, "One owner at a
+ * acquires the partition, and the fencing token rises with each change of leader (`docs/design.md`, "One leader at a
  * time").
  */
 internal class PartitionAcquirer(
--- a/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
+++ b/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
@@ -15,7 +15,7 @@
  * A partition's leader record depends on this controller's store lease ([StoreLeaseKeeper]) and was put by a guarded
  * transaction ([PartitionAcquirer]), whose revision is both the record's version and the fencing token that workers are
  * shown: it rises with each change of leader. Commands are given only under [actingToken]; transactions are guarded by
- * [leadershipCondition] and need no fence. The safety argument is in `docs/design.md`, "One owner at a time".
+ * [leadershipCondition] and need no fence. The safety argument is in `docs/design.md`, "One leader at a time".
  */
 class PartitionLeadership(
     private val settings: LeadershipSettings,
--- a/src/main/kotlin/io/otterknot/leadership/StoreLeaseKeeper.kt
+++ b/src/main/kotlin/io/otterknot/leadership/StoreLeaseKeeper.kt
@@ -15,7 +15,7 @@
  *
  * The fence moves only to a moment up to which this controller knows everything: to the sending of a renewal after
  * which all its partitions were confirmed as its own, once the replica holds what the store held at that confirmation.
- * That keeps "a cancellation that the owner does not know was told after *sent*" (`docs/design.md`, "One owner at a
+ * That keeps "a cancellation that the leader does not know was told after *sent*" (`docs/design.md`, "One leader at a
  * time"): requests may be relayed by another controller while the watch stands still, and a leader that answered workers
  * without knowing of cancellations that users were told of would keep their tasks alive.
  */
--- a/src/main/kotlin/io/otterknot/leadership/TakeoverMarkers.kt
+++ b/src/main/kotlin/io/otterknot/leadership/TakeoverMarkers.kt
@@ -5,7 +5,7 @@
  *
  * Such a leader last moved its fence before the takeover, so the fence ends [leaseTtlMs] after it at the latest. An
  * acquisition that came through late, and a new leader that ended at once, leave the marker; it counts from when this
- * controller saw it (`docs/design.md`, "A silent owner's partitions are claimed at once").
+ * controller saw it (`docs/design.md`, "The partitions of an unresponsive leader are taken over at once").
  */
 class TakeoverMarkers(private val leaseTtlMs: Long, private val nowMs: () -> Long) {
     private val markerSeenMs = HashMap<String, Long>()
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
@@ -37,7 +37,8 @@
 
     /** Whether load spread decides the reassignments of the partition of [zone]: it acts there and is not paused. */
     fun decidesReassignments(zone: String): Boolean =
-        activeSettings.mode == LoadSpreadMode.ACT && activeSettings.handOvers && rebalancers[zone]?.isPlanning == true
+        activeSettings.mode == LoadSpreadMode.ACT && activeSettings.reassignsTasks &&
+            rebalancers[zone]?.isPlanning == true
 
     /** The pressure that the leader of [partition] publishes with its mean load; null while load spread is off. */
     fun record(partition: Partition): PressureRecord? =
--- a/src/main/kotlin/io/otterknot/rebalance/MovePlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MovePlanner.kt
@@ -16,7 +16,7 @@
         val limits = StopLimits(settings, snapshot)
         if (settings.drains) parts.add(drains.plan(snapshot, limits))
         if (settings.guarantees) parts.add(guarantees.plan(snapshot, limits))
-        if (settings.handOvers) parts.add(handOvers.plan(snapshot))
+        if (settings.reassignsTasks) parts.add(handOvers.plan(snapshot))
         return MovePlan(withoutRepeats(parts.flatMap { it.moves }), parts.flatMap { it.refusals })
     }
 
--- a/src/main/kotlin/io/otterknot/rebalance/ReassignmentPlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/ReassignmentPlanner.kt
@@ -48,7 +48,7 @@
         }
 
         private fun choose(job: WaitingJob): Choice {
-            if (plan.moveCount >= settings.handOversPerPlan) return Choice.Refuse(RefusalReason.TOO_MANY_MOVES)
+            if (plan.moveCount >= settings.reassignmentsPerPlan) return Choice.Refuse(RefusalReason.TOO_MANY_MOVES)
             refusalReason(job)?.let { return Choice.Refuse(it) }
             val target = bestTarget(job) ?: return Choice.Refuse(RefusalReason.NO_TARGET)
             val reason = moveReason(job, target) ?: return Choice.Refuse(RefusalReason.GAIN_TOO_SMALL)
@@ -60,7 +60,7 @@
             return snapshot.targets(job.spec)
                 .filter { it != snapshot.zone }
                 .map { zone ->
-                    val there = placeCost(job, zone).copy(moveS = settings.handOverDelayS)
+                    val there = placeCost(job, zone).copy(moveS = settings.reassignmentDelayS)
                     Target(zone, LocalityCost.gain(here, there, weights))
                 }
                 .maxWithOrNull(LARGEST_GAIN)
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
@@ -75,10 +75,10 @@
     /** No task of it has run or is placed, as far as this partition knows. */
     val neverStarted: Boolean get() = !hasStarted && active.isEmpty() && job.completedTasks.isEmpty
 
-    // Its team's guarantee.
+    // Its team's guaranteed quota.
 
     /**
-     * It fits into its team's guarantee together with the team's more urgent and earlier jobs, so it need not wait for
+     * It fits into its team's guaranteed quota together with the team's more urgent and earlier jobs, so it need not wait for
      * other teams.
      */
     var covered = false
--- a/src/main/kotlin/io/otterknot/scheduling/ServiceLevelObjective.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/ServiceLevelObjective.kt
@@ -16,8 +16,8 @@
 
 /** The objectives of each class of jobs, from the settings. */
 fun objectivesByJobClass(objectives: List<ObjectiveSettings>): Map<String, List<ServiceLevelObjective>> = objectives
-    .filter { it.jobKind != null }
-    .groupBy { it.jobKind.orEmpty() }
+    .filter { it.jobClass != null }
+    .groupBy { it.jobClass.orEmpty() }
     .mapValues { (_, ofClass) -> ofClass.mapNotNull(::toObjective) }
 
 /** Null: of a kind that does not concern scheduling, or one that this version does not know. */
--- a/src/test/kotlin/io/otterknot/config/OperatorSettingsTest.kt
+++ b/src/test/kotlin/io/otterknot/config/OperatorSettingsTest.kt
@@ -43,7 +43,7 @@
     fun `what is named is taken, the rest has its default, and comments are passed over`() {
         val text = "; a comment\n(load-spread :mode act :margin-s 5 :hand-overs false :sampled-machines 7)"
         val expected =
-            LoadSpreadSettings(LoadSpreadMode.ACT, marginS = 5.0, handOvers = false, sampledMachines = 7)
+            LoadSpreadSettings(LoadSpreadMode.ACT, marginS = 5.0, reassignsTasks = false, sampledMachines = 7)
         assertEquals(OperatorSettings(expected), OperatorSettingsFile.parse(text))
         assertEquals(OperatorSettings(), OperatorSettingsFile.parse(""))
     }
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -1429,9 +1429,9 @@
                 nodes = 2, zones = listOf("a", "b"), clockErrorMs = 250.5,
                 teams = listOf(TeamSettings(name = "red", cpus = 1.5, cpusMax = 2.5, gpus = 3.5, gpusMax = 4.5)),
                 objectives = listOf(
-                    ObjectiveSettings(kind = "wait", jobKind = "k", withinS = 8.5, share = 0.9, times = 1.25),
+                    ObjectiveSettings(kind = "wait", jobClass = "k", withinS = 8.5, share = 0.9, times = 1.25),
                 ),
-                workers = WorkerSettings(reportS = 0.8, leaseS = 10.5, cancelS = 35.5),
+                workers = WorkerSettings(heartbeatS = 0.8, leaseS = 10.5, cancelS = 35.5),
                 state = StoreSettings(
                     rps = 600.5,
                     writeRps = 200.5,
@@ -1490,17 +1490,18 @@
 """
 
         private val ALL_LOAD_SPREAD = LoadSpreadSettings(
-            mode = LoadSpreadMode.OBSERVE, handOvers = false, guarantees = false, drains = false, anyPriority = true,
-            planEveryS = 1.5, marginS = 2.5, handOverDelayS = 3.5, fetchWeight = 4.5, lostWorkWeight = 5.5,
-            returnAfterS = 6.5, taskCooldownS = 7.5, patienceS = 8.5, leastRemainingS = 9.5, handOversPerPlan = 10,
+            mode = LoadSpreadMode.OBSERVE, reassignsTasks = false, guarantees = false, drains = false,
+            anyPriority = true,
+            planEveryS = 1.5, marginS = 2.5, reassignmentDelayS = 3.5, fetchWeight = 4.5, lostWorkWeight = 5.5,
+            returnAfterS = 6.5, taskCooldownS = 7.5, patienceS = 8.5, leastRemainingS = 9.5, reassignmentsPerPlan = 10,
             partitionStopShare = 0.11, teamStopShare = 0.12, jobStopShare = 0.13, lostWorkShare = 0.14,
             examinedJobs = 15, sampledMachines = 16,
         )
 
         private val DEFAULT_LOAD_SPREAD = LoadSpreadSettings(
-            mode = LoadSpreadMode.OFF, handOvers = true, guarantees = true, drains = true, anyPriority = false,
-            planEveryS = 1.0, marginS = 3.0, handOverDelayS = 2.0, fetchWeight = 1.0, lostWorkWeight = 1.5,
-            returnAfterS = 30.0, taskCooldownS = 120.0, patienceS = 1.5, leastRemainingS = 4.0, handOversPerPlan = 3,
+            mode = LoadSpreadMode.OFF, reassignsTasks = true, guarantees = true, drains = true, anyPriority = false,
+            planEveryS = 1.0, marginS = 3.0, reassignmentDelayS = 2.0, fetchWeight = 1.0, lostWorkWeight = 1.5,
+            returnAfterS = 30.0, taskCooldownS = 120.0, patienceS = 1.5, leastRemainingS = 4.0, reassignmentsPerPlan = 3,
             partitionStopShare = 0.05, teamStopShare = 0.1, jobStopShare = 0.25, lostWorkShare = 0.05,
             examinedJobs = 64, sampledMachines = 128,
         )
