--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -1501,7 +1501,8 @@
         private val DEFAULT_LOAD_SPREAD = LoadSpreadSettings(
             mode = LoadSpreadMode.OFF, reassignsTasks = true, guarantees = true, drains = true, anyPriority = false,
             planEveryS = 1.0, marginS = 3.0, reassignmentDelayS = 2.0, fetchWeight = 1.0, lostWorkWeight = 1.5,
-            returnAfterS = 30.0, taskCooldownS = 120.0, patienceS = 1.5, leastRemainingS = 4.0, reassignmentsPerPlan = 3,
+            returnAfterS = 30.0, taskCooldownS = 120.0, patienceS = 1.5, leastRemainingS = 4.0,
+            reassignmentsPerPlan = 3,
             partitionStopShare = 0.05, teamStopShare = 0.1, jobStopShare = 0.25, lostWorkShare = 0.05,
             examinedJobs = 64, sampledMachines = 128,
         )
