--- a/src/test/kotlin/io/otterknot/architecture/PackageDependencyTest.kt
+++ b/src/test/kotlin/io/otterknot/architecture/PackageDependencyTest.kt
@@ -73,7 +73,7 @@
             ),
             entry(
                 "ratelimit",
-                "Spends the budget of requests to the state service and the cloud.",
+                "Spends this controller's share of the rate limits of the key-value store and the cloud.",
             ),
             entry(
                 "metrics",
@@ -85,7 +85,7 @@
             ),
             entry(
                 "net",
-                "Sockets over the process's event loops.",
+                "The event loop of the process, its sockets and timers.",
             ),
             entry(
                 "config",
@@ -94,13 +94,13 @@
             ),
             entry(
                 "records",
-                "Values kept in the state service.",
+                "Keys and values kept in the key-value store.",
                 mayUse = "wire",
             ),
             entry(
                 "http",
                 "HTTP client and server.",
-                mayUse = "config net wire",
+                mayUse = "net wire",
             ),
             entry(
                 "cloud",
@@ -109,7 +109,7 @@
             ),
             entry(
                 "store",
-                "Client of the state service, and the replica that follows it.",
+                "Client of the key-value store, and the replica that follows it.",
                 mayUse = "http metrics ratelimit records wire",
             ),
             entry(
@@ -144,7 +144,7 @@
             ),
             entry(
                 "reassignment",
-                "Hands waiting tasks to another partition.",
+                "Reassigns pending tasks to another partition.",
                 mayUse = "jobs leadership partition scheduling store wire",
             ),
             entry(
@@ -164,7 +164,7 @@
             ),
             entry(
                 "autoscaling",
-                "Rents and returns machines.",
+                "Scales the machines of a partition out and in.",
                 mayUse = "cloud leadership partition scheduling wire",
             ),
             entry(
