--- a/src/main/kotlin/io/otterknot/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/Autoscaler.kt
@@ -9,14 +9,15 @@
 import kotlin.random.Random
 
 /**
- * Scales the partitions that this controller leads out and in. Two loops: one compares demand with supply
- * ([DemandMeter], [ScaleOut], [ScaleIn]), the other the cloud's list with what reports ([CloudInspection]). All state is
- * used on the controller's one thread only, and lost with it: the next leader learns it from the list and the heartbeats.
+ * Scales the partitions that this controller leads out and in. One loop compares demand with supply ([DemandMeter],
+ * [ScaleOut], [ScaleIn]); the other compares the cloud's list with the machines that report ([CloudInspection]). All
+ * state is confined to the controller's single thread and is not persisted: after a failover, the next leader rebuilds
+ * it from the cloud's list and the heartbeats.
  */
 class Autoscaler(
     private val cloud: CloudClient,
     private val catalog: MachineTypeCatalog,
-    private val led: LedPartitions,
+    private val ledPartitions: LedPartitions,
     objectives: ServiceLevelObjectives,
     timings: HeartbeatTimings,
     private val nowMs: () -> Long,
@@ -24,21 +25,21 @@
 ) {
     private val policy = ScalingPolicy()
     private val expected = ExpectedMachines()
-    private val inventory = CloudInventory(led, timings.leaseMs, catalog::type)
+    private val inventory = CloudInventory(ledPartitions, timings.leaseMs, catalog::type)
     private val demandMeter = DemandMeter(catalog, objectives, expected, nowMs)
-    private val scaleOut = ScaleOut(cloud, catalog, policy, led, expected, nowMs, random)
-    private val scaleIn = ScaleIn(cloud, policy, led, expected, timings, nowMs)
-    private val inspection = CloudInspection(catalog, led, inventory, expected, scaleIn)
+    private val scaleOut = ScaleOut(cloud, catalog, policy, ledPartitions, expected, nowMs, random)
+    private val scaleIn = ScaleIn(cloud, policy, ledPartitions, expected, timings, nowMs)
+    private val inspection = CloudInspection(catalog, ledPartitions, inventory, expected, scaleIn)
 
-    /** Adds the machines that are missing and releases those that can be spared, until cancelled. */
+    /** Periodically requests missing machines and drains and releases surplus ones, until cancelled. */
     suspend fun scaleContinuously() {
         while (true) {
             delay(SCALE_MS + random.nextLong(SCALE_JITTER_MS))
             val types = catalog.types ?: continue
             scaleOut.retryUnanswered()
-            for (zone in led.zones.toList()) {
-                val partition = led[zone] ?: continue
-                if (led.mayActFor(partition)) scale(partition, types)
+            for (zone in ledPartitions.zones.toList()) {
+                val partition = ledPartitions[zone] ?: continue
+                if (ledPartitions.mayActFor(partition)) scale(partition, types)
             }
         }
     }
@@ -51,16 +52,17 @@
         val inputs = demandMeter.measure(partition)
         scaleIn.drainSurplus(partition, inputs)
         scaleIn.releaseDrained(partition)
-        // Until a request is answered, nobody knows what is missing; machines in a zone that is cut off would be no use.
-        if (scaleOut.hasUnanswered(partition.zone) || inventory.isCutOff(partition)) return
+        // The missing capacity is unknown until all requests are answered, and new machines in an isolated zone would
+        // not be reachable.
+        if (scaleOut.hasUnanswered(partition.zone) || inventory.isIsolated(partition)) return
         scaleOut.requestMissing(partition, inputs, types)
     }
 
-    /** Compares the cloud's list of machines with those that report, until cancelled. */
+    /** Periodically compares the cloud's list of machines with those that report, until cancelled. */
     suspend fun inspectContinuously() {
         while (true) {
             delay(INSPECT_MS + random.nextLong(INSPECT_JITTER_MS))
-            if (led.zones.isEmpty()) continue
+            if (ledPartitions.zones.isEmpty()) continue
             val listed = cloud.machines()
             if (listed is CloudResult.Success) inspection.inspect(listed.value, nowMs())
         }
--- a/src/main/kotlin/io/otterknot/autoscaling/CloudInventory.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/CloudInventory.kt
@@ -6,51 +6,52 @@
 import io.otterknot.wire.MachineType
 
 /**
- * Compares the cloud's list, which lags behind, with the machines that report, to find those that will never be of use.
+ * Compares the cloud's list, which lags behind, with the machines that report, to find listed machines that have failed
+ * or are unresponsive.
  */
 class CloudInventory(
-    private val led: LedPartitions,
+    private val ledPartitions: LedPartitions,
     private val leaseMs: Long,
     private val typeOf: (name: String) -> MachineType?,
 ) {
-    private val silentSinceMs = HashMap<String, Long>()
+    private val unresponsiveSinceMs = HashMap<String, Long>()
 
     /**
-     * Zones of which most running machines are silent. Such a zone is cut off: its machines come back with it, and new
-     * ones could not be reached either.
+     * Returns the zones in which most running machines do not report. Such a zone is treated as isolated: its machines
+     * report again once it is reachable, and new machines could not be reached either.
      */
-    fun silentZones(listed: List<ListedMachine>): Set<String> = listed
-        .filter { it.state == ListedMachineState.RUNNING && it.ageS > MIN_AGE_S && led[it.zone] != null }
+    fun isolatedZones(listed: List<ListedMachine>): Set<String> = listed
+        .filter { it.state == ListedMachineState.RUNNING && it.ageS > MIN_AGE_S && ledPartitions[it.zone] != null }
         .groupBy { it.zone }
         .filterValues { machines -> machines.size >= MIN_MACHINES && machines.count(::isReporting) * 2 < machines.size }
         .keys
 
-    /** Whether most machines that have reported in [partition] are silent now. */
-    fun isCutOff(partition: Partition): Boolean {
+    /** Whether the leases of most machines of [partition], which have all reported before, have expired. */
+    fun isIsolated(partition: Partition): Boolean {
         val machines = partition.machines
         return machines.size >= MIN_MACHINES && machines.count { it.leaseExpired } * 2 > machines.size
     }
 
-    /** Its silence up to now does not count. */
-    fun resetSilence(machine: ListedMachine) {
-        silentSinceMs.remove(machine.id)
+    /** Discards the time for which [machine] has not reported so far. */
+    fun resetUnresponsiveTime(machine: ListedMachine) {
+        unresponsiveSinceMs.remove(machine.id)
     }
 
-    /** Whether it has failed, has been silent for too long, or has not booted in time. */
-    fun isFailedOrSilent(machine: ListedMachine, partition: Partition, now: Long): Boolean {
+    /** Whether [machine] has failed, has not reported for too long, or has not booted in time. */
+    fun isFailedOrUnresponsive(machine: ListedMachine, partition: Partition, now: Long): Boolean {
         if (machine.state == ListedMachineState.FAILED) return true
         if (isReporting(machine, partition)) {
-            resetSilence(machine)
+            resetUnresponsiveTime(machine)
             return false
         }
-        val sinceMs = silentSinceMs.getOrPut(machine.id) { now }
-        if (machine.state != ListedMachineState.BOOTING) return now - sinceMs > leaseMs + SILENCE_BEYOND_LEASE_MS
+        val sinceMs = unresponsiveSinceMs.getOrPut(machine.id) { now }
+        if (machine.state != ListedMachineState.BOOTING) return now - sinceMs > leaseMs + UNRESPONSIVE_GRACE_MS
         val bootS = typeOf(machine.type)?.bootS ?: UNKNOWN_TYPE_BOOT_S
         return machine.ageS > maxOf(bootS * SLOW_BOOT_FACTOR, MIN_SLOW_BOOT_S)
     }
 
     private fun isReporting(machine: ListedMachine): Boolean {
-        val partition = led[machine.zone] ?: return false
+        val partition = ledPartitions[machine.zone] ?: return false
         return isReporting(machine, partition)
     }
 
@@ -58,16 +59,16 @@
         partition.machine(machine.id)?.leaseExpired == false
 
     private companion object {
-        /** A running machine that has been silent for this long beyond its lease is released. */
-        const val SILENCE_BEYOND_LEASE_MS = 4_000L
+        /** A running machine that has not reported for its lease plus this long is released. */
+        const val UNRESPONSIVE_GRACE_MS = 4_000L
 
-        /** With fewer machines, a few that are dead do not tell that the zone is cut off. */
+        /** With fewer machines, a few failed ones are not sufficient evidence that the zone is isolated. */
         const val MIN_MACHINES = 4
 
-        /** A younger machine may not have had the time to report. */
+        /** A younger machine may not have had time to report. */
         const val MIN_AGE_S = 30.0
 
-        /** A boot that takes so many times what is usual for the type, and [MIN_SLOW_BOOT_S], will not end. */
+        /** A boot longer than both this multiple of the type's boot time and [MIN_SLOW_BOOT_S] counts as failed. */
         const val SLOW_BOOT_FACTOR = 5.0
         const val MIN_SLOW_BOOT_S = 60.0
         const val UNKNOWN_TYPE_BOOT_S = 60.0
--- a/src/main/kotlin/io/otterknot/autoscaling/DemandMeter.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/DemandMeter.kt
@@ -4,7 +4,7 @@
 import io.otterknot.scheduling.ServiceLevelObjectives
 import io.otterknot.wire.JobSpec
 
-/** Measures what the partitions need and have. It remembers the demand of the last while, see [DemandWindow]. */
+/** Measures the demand and supply of the partitions, and keeps recent demand in [DemandWindow]s. */
 class DemandMeter(
     private val catalog: MachineTypeCatalog,
     private val objectives: ServiceLevelObjectives,
@@ -15,13 +15,13 @@
         val ordinary = DemandWindow()
         val total = DemandWindow()
 
-        /** The largest share of jobs, of any class seen so far, that must start sooner than a machine boots. */
+        /** The largest share of jobs, over all classes seen so far, that must start before a machine could boot. */
         var promptShare = 0.0
     }
 
     private val recentDemandByZone = HashMap<String, RecentDemand>()
 
-    /** Takes a sample of the demand of [partition] and returns what it needs and has. */
+    /** Samples the demand of [partition] and returns its demand and supply. */
     fun measure(partition: Partition): ScalingInputs {
         val bootS = shortestBootS(partition.zone)
         val recent = recentDemandByZone.getOrPut(partition.zone) { RecentDemand() }
@@ -30,33 +30,35 @@
         return ScalingInputs(
             demandCores(partition, recent.ordinary, recent.promptShare, bootS) { !it.spot },
             demandCores(partition, recent.total, recent.promptShare, bootS) { true },
-            supplyCores(partition, withSpot = false),
-            supplyCores(partition, withSpot = true),
+            supplyCores(partition, includeSpot = false),
+            supplyCores(partition, includeSpot = true),
         )
     }
 
-    private fun supplyCores(partition: Partition, withSpot: Boolean): Double {
+    private fun supplyCores(partition: Partition, includeSpot: Boolean): Double {
         var cores = 0.0
         for (machine in partition.machines) {
             val isUsable = machine.inService && !machine.losesResponses
-            if (isUsable && (withSpot || !machine.spot)) cores += machine.type.cores
+            if (isUsable && (includeSpot || !machine.spot)) cores += machine.type.cores
         }
-        // After a failover the machines report one by one: until then they would all seem to be missing.
+        // After a failover, machines report one after another. Those that have not reported yet count as supply;
+        // otherwise they would be requested again.
         for (type in partition.fleet.unreportedTypes()) cores += catalog.type(type)?.cores ?: 0.0
         for (machine in expected.all) {
-            val isHere = machine.zone == partition.zone
-            if (isHere && (withSpot || !machine.kind.spot)) cores += machine.cores
+            val isInZone = machine.zone == partition.zone
+            if (isInZone && (includeSpot || !machine.kind.spot)) cores += machine.cores
         }
         return cores
     }
 
-    /** In seconds; 0 where nothing is offered. */
+    /** Returns the shortest boot time of the types offered in [zone], in seconds, or 0 if no type is offered. */
     private fun shortestBootS(zone: String): Double =
         catalog.types.orEmpty().filter { zone in it.zones }.minOfOrNull { it.bootS } ?: 0.0
 
     /**
-     * The cores that the jobs that [isCounted] are to be supplied with. Only for those that cannot wait for a boot are
-     * machines kept in advance; the demand of the others counts as it is.
+     * Returns the cores that supply must cover for the jobs that satisfy [isCounted]. Recent demand counts only for
+     * jobs that cannot wait for a boot, so that machines are available in advance; for the others current demand
+     * counts.
      */
     private fun demandCores(
         partition: Partition,
@@ -65,7 +67,7 @@
         bootS: Double,
         isCounted: (JobSpec) -> Boolean,
     ): Double {
-        val prompt = partition.load.demand { isCounted(it) && objectives.readyShare(it, bootS) > 0 }
-        return window.update(nowMs(), prompt, promptShare) + partition.load.demand(isCounted) - prompt
+        val promptDemand = partition.load.demand { isCounted(it) && objectives.readyShare(it, bootS) > 0 }
+        return window.update(nowMs(), promptDemand, promptShare) + partition.load.demand(isCounted) - promptDemand
     }
 }
--- a/src/main/kotlin/io/otterknot/autoscaling/DemandWindow.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/DemandWindow.kt
@@ -1,21 +1,23 @@
 package io.otterknot.autoscaling
 
 /**
- * Samples of a demand over the last [spanMs], one at most every [sampleIntervalMs].
+ * Samples of a demand over the last [spanMs], at most one per [sampleIntervalMs].
  *
- * Machines for work that cannot wait for a boot must be there before it comes. How many, the past tells: if a share q of
- * such jobs is to start at once, the q-quantile of recent demand is kept supplied. The maximum (q = 1) would keep the
- * machines of each burst through the whole of a lull; the mean would be too few for half of the bursts.
+ * Machines for work that cannot wait for a boot must be available before the work arrives. Their number is estimated
+ * from recent demand: if a share q of such jobs must start immediately, supply covers the q-quantile. The maximum
+ * (q = 1) would keep the machines of each burst through the following lull; the mean would be too few for half of the
+ * bursts.
  */
 class DemandWindow(private val spanMs: Long = 60_000, private val sampleIntervalMs: Long = 1_500) {
     private val samples = ArrayDeque<Double>()
 
-    /** When the last sample was taken; null: none yet. */
+    /** When the last sample was taken, or null if there is none yet. */
     private var lastSampleMs: Long? = null
 
     /**
-     * Takes the present [demand] in and returns what is to be supplied: the [quantile] (0 to 1, the lower sample where
-     * it falls between two) of the samples, or the present demand if that is more.
+     * Samples the current [demand] if [sampleIntervalMs] has elapsed, and returns the demand that supply must cover:
+     * the [quantile] (0 to 1) of the samples, or the current demand if that is higher. A quantile between two samples
+     * is rounded down to the lower one.
      */
     fun update(nowMs: Long, demand: Double, quantile: Double): Double {
         sample(nowMs, demand)
--- a/src/main/kotlin/io/otterknot/autoscaling/ExpectedMachines.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ExpectedMachines.kt
@@ -2,10 +2,10 @@
 
 import io.otterknot.partition.Partition
 
-/** A machine that was granted and has not reported yet. */
+/** A machine that the cloud has granted and that has not reported yet. */
 class ExpectedMachine(val zone: String, val kind: MachineKind, val cores: Double, val sinceMs: Long)
 
-/** Machines that will soon report. They count as supply, or the same would be scaled out again. */
+/** Machines that are expected to report soon. They count as supply; otherwise they would be requested again. */
 class ExpectedMachines {
     private val byId = HashMap<String, ExpectedMachine>()
 
@@ -24,7 +24,7 @@
     /** Removes the machines that report in [partition]. */
     fun removeReporting(partition: Partition) = partition.machines.forEach { byId.remove(it.id) }
 
-    /** Removes machines that are not in the cloud's list although they have been expected for [timeoutMs]. */
+    /** Removes machines that have been expected for more than [timeoutMs] and are not in the cloud's list. */
     fun removeUnlisted(listedIds: Set<String>, now: Long, timeoutMs: Long) {
         byId.entries.removeIf { (id, machine) -> id !in listedIds && now - machine.sinceMs > timeoutMs }
     }
--- a/src/main/kotlin/io/otterknot/autoscaling/HeartbeatTimings.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/HeartbeatTimings.kt
@@ -1,4 +1,4 @@
 package io.otterknot.autoscaling
 
-/** How often workers send heartbeats, and how long their lease lasts without a response (PROTOCOL). */
+/** The interval of worker heartbeats, and how long a worker's lease lasts without a response (PROTOCOL). */
 class HeartbeatTimings(val heartbeatPeriodMs: Long, val leaseMs: Long)
--- a/src/main/kotlin/io/otterknot/autoscaling/LedPartitions.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/LedPartitions.kt
@@ -10,9 +10,9 @@
 
     operator fun get(zone: String): Partition? = byZone[zone]
 
-    /** Whether this controller, within its fence, is the leader that [partition] was made for. */
+    /** Whether this controller still leads under the fencing token of [partition] and may give commands now. */
     fun mayActFor(partition: Partition): Boolean = leadership.mayActFor(partition)
 
-    /** Whether this controller has acquired [zone] and not lost it, also while it may not act. */
+    /** Whether this controller holds the leadership of [zone], even if it may not give commands now. */
     fun hasAcquired(zone: String): Boolean = leadership.acquiredToken(zone) != null
 }
--- a/src/main/kotlin/io/otterknot/autoscaling/MachineKind.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/MachineKind.kt
@@ -1,4 +1,6 @@
 package io.otterknot.autoscaling
 
-/** What a scale-out request asks for: a machine type, by its name in [MachineTypeCatalog], as spot instance or not. */
+/**
+ * The kind of machine in a scale-out request: the name of a type in [MachineTypeCatalog], as a spot instance or not.
+ */
 data class MachineKind(val type: String, val spot: Boolean)
--- a/src/main/kotlin/io/otterknot/autoscaling/MachineTypeCatalog.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/MachineTypeCatalog.kt
@@ -7,19 +7,22 @@
 import kotlinx.coroutines.delay
 import kotlin.random.Random
 
-/** The machine types that the cloud offers, by its last answer, or as controllers have recorded them before. */
+/**
+ * The machine types that the cloud offers, from its latest response, or, until the first response, as controllers have
+ * recorded them in the store.
+ */
 class MachineTypeCatalog(private val cloud: CloudClient, private val random: Random) {
-    /** Also types that are not offered any more: there may be machines of them. */
+    /** Includes types that are no longer offered, because machines of these types may still exist. */
     private val byName = HashMap<String, MachineType>()
 
-    /** Whether the cloud itself has answered since this process started. */
+    /** Whether the cloud has responded since this process started. */
     private var isFromCloud = false
 
-    /** What is offered now; null: not known yet. */
+    /** The types offered now, or null if neither a response nor a record is available yet. */
     var types: List<MachineType>? = null
         private set
 
-    /** The type of this name; null: never heard of. */
+    /** Returns the type called [name], including one no longer offered, or null if the type is unknown. */
     fun type(name: String): MachineType? = byName[name]
 
     /** Whether some type that [spec] allows is offered in [zone]. */
@@ -27,14 +30,14 @@
         types.orEmpty().any { zone in it.zones && (spec.types == null || it.name in spec.types) }
 
     /**
-     * Takes over the types that a controller has recorded, unless the cloud has answered already. Without these a
-     * controller that starts while the cloud is away would lead partitions and place nothing until it is back.
+     * Uses the types that a controller has recorded, unless the cloud has already responded. Without them, a controller
+     * that starts while the cloud is unavailable would lead partitions but place no task until the cloud is available.
      */
     fun restore(recorded: List<MachineType>) {
         if (!isFromCloud) replace(recorded)
     }
 
-    /** Asks the cloud periodically, until cancelled; [record] gets each answer. */
+    /** Requests the types from the cloud periodically, until cancelled, and passes each result to [record]. */
     suspend fun refreshContinuously(record: suspend (List<MachineType>) -> Unit) {
         while (true) {
             val result = cloud.types()
@@ -55,7 +58,7 @@
     private companion object {
         const val REFRESH_MS = 60_000L
 
-        /** Until the first answer of the cloud. */
+        /** Interval between requests until the first response of the cloud. */
         const val RETRY_MS = 700L
         const val RETRY_JITTER_MS = 600L
     }
--- a/src/main/kotlin/io/otterknot/autoscaling/ScaleIn.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ScaleIn.kt
@@ -6,46 +6,50 @@
 import io.otterknot.scheduling.Machine
 import org.slf4j.LoggerFactory
 
-/** Drains the machines that a partition can do without, and releases those that are empty or of no use any more. */
+/** Drains surplus machines of a partition, and releases machines that are drained or no longer usable. */
 class ScaleIn(
     private val cloud: CloudClient,
     private val policy: ScalingPolicy,
-    private val led: LedPartitions,
+    private val ledPartitions: LedPartitions,
     private val expected: ExpectedMachines,
     private val timings: HeartbeatTimings,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger(ScaleIn::class.java)
     private val releasedIds = HashSet<String>()
-    private val lossesHandledMs = HashMap<String, Long>()
+    private val lastLossReleaseMs = HashMap<String, Long>()
 
-    /** Whether this controller has released the machine; the cloud's list may show it for some time yet. */
+    /** Whether this controller has released the machine. The cloud's list may still show it for a while. */
     fun wasReleased(id: String): Boolean = id in releasedIds
 
+    /** Releases machines that do not report while others do; see [ScaleInReason.UNRESPONSIVE]. */
     suspend fun releaseUnresponsive(partition: Partition) {
         val timeoutMs = maxOf(MISSED_HEARTBEATS * timings.heartbeatPeriodMs, MIN_UNRESPONSIVE_MS)
         release(partition.fleet.unresponsive(nowMs(), timeoutMs), ScaleInReason.UNRESPONSIVE)
     }
 
-    /** Not all at once: if the network is at fault, other machines would lose responses too. */
+    /**
+     * Releases machines that lose responses, but within one lease at most one in [LOSING_RESPONSES_DIVISOR] of the
+     * partition's machines (at least one): if the network is at fault, other machines would lose responses too.
+     */
     suspend fun releaseLosingResponses(partition: Partition) {
         val machines = partition.fleet.losingResponses()
         val now = nowMs()
-        val lastMs = lossesHandledMs[partition.zone]
+        val lastMs = lastLossReleaseMs[partition.zone]
         val isTooSoon = lastMs != null && now - lastMs < timings.leaseMs
         if (machines.isEmpty() || isTooSoon) return
-        lossesHandledMs[partition.zone] = now
-        val atMost = maxOf(1, partition.machines.size / LOSING_RESPONSES_DIVISOR)
-        release(machines.take(atMost), ScaleInReason.LOSING_RESPONSES)
+        lastLossReleaseMs[partition.zone] = now
+        val maxReleases = maxOf(1, partition.machines.size / LOSING_RESPONSES_DIVISOR)
+        release(machines.take(maxReleases), ScaleInReason.LOSING_RESPONSES)
     }
 
-    /** Takes the machines that are being drained because of low demand back into service. */
+    /** Cancels the drains of all machines that are being drained for scale-in. */
     fun cancelDrains(partition: Partition) = partition.machines.forEach { it.cancelDrain() }
 
     /**
-     * Drains what the partition can do without, ordinary machines before spot instances and the least loaded first.
-     * Tasks are spread over all machines, so few would become empty by themselves when demand falls. Each round decides
-     * anew: a machine is needed again if demand returns before it is empty.
+     * Drains the machines that the partition can spare, ordinary machines before spot instances, and of each kind the
+     * least loaded first. Draining is needed because tasks are spread over all machines, so few machines would become
+     * empty when demand falls. Each round selects the machines again, because demand may rise before they are empty.
      */
     fun drainSurplus(partition: Partition, inputs: ScalingInputs) {
         val now = nowMs()
@@ -62,6 +66,7 @@
         logInputs(partition, inputs, draining)
     }
 
+    /** Releases the machines that are drained or faulty and have no task left. */
     suspend fun releaseDrained(partition: Partition) {
         val machines = partition.machines.filter(::isReleasable)
         if (machines.isEmpty()) return
@@ -69,26 +74,32 @@
         release(machines.map { it.id }, ScaleInReason.DRAINED)
     }
 
-    /** A machine with a spot notice goes by itself. */
+    /**
+     * Whether [machine] is empty, has a valid lease, and is draining or quarantined. A quarantined machine with a spot
+     * notice is not released here, because the cloud reclaims it.
+     */
     private fun isReleasable(machine: Machine): Boolean {
         if (machine.attempts.isNotEmpty() || machine.leaseExpired) return false
         return machine.draining || (machine.quarantined && !machine.hasSpotNotice)
     }
 
-    /** Releases the machines [ids]; if the cloud does not confirm it, nothing changes here and the next round retries. */
+    /**
+     * Releases the machines [ids], at most [MAX_MACHINES_PER_RELEASE] of them. If the cloud does not confirm the
+     * release, no state changes here, and the next round retries.
+     */
     suspend fun release(ids: List<String>, reason: ScaleInReason) {
         if (ids.isEmpty()) return
         log.info("machines={} reason={} scaling in", ids, reason.logName)
         val batch = ids.take(MAX_MACHINES_PER_RELEASE)
         val result = cloud.release(batch)
         if (result is CloudResult.Failure) {
-            log.debug("machines={} error={} not scaled in", batch, result.error)
+            log.debug("machines={} error={} scale-in not confirmed", batch, result.error)
             return
         }
         for (id in batch) {
             expected.remove(id)
             releasedIds.add(id)
-            led.all.forEach { it.fleet.machineReleased(id) }
+            ledPartitions.all.forEach { it.fleet.machineReleased(id) }
         }
     }
 
@@ -109,17 +120,17 @@
     }
 
     private companion object {
-        /** The most names in one request (PROTOCOL, POST /machines/release). */
+        /** Maximum number of machines in one request (PROTOCOL, POST /machines/release). */
         const val MAX_MACHINES_PER_RELEASE = 100
 
-        /** A machine is unresponsive after so many heartbeat intervals, but not before [MIN_UNRESPONSIVE_MS]. */
+        /** A machine is unresponsive after this many heartbeat intervals, but not before [MIN_UNRESPONSIVE_MS]. */
         const val MISSED_HEARTBEATS = 3
         const val MIN_UNRESPONSIVE_MS = 4_500L
 
-        /** Of a partition's machines one in so many, or one, is released within a lease for losing responses. */
+        /** Within one lease, at most one machine in this many, but at least one, is released for losing responses. */
         const val LOSING_RESPONSES_DIVISOR = 3
 
-        /** A machine that reported for the first time less than this ago is not drained. */
+        /** A machine is not drained until this long after its first heartbeat. */
         const val MIN_SERVICE_MS = 30_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/autoscaling/ScaleInReason.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ScaleInReason.kt
@@ -1,16 +1,16 @@
 package io.otterknot.autoscaling
 
-/** Why machines are released. */
+/** Why machines are released; [logName] is the value in the log. */
 enum class ScaleInReason(val logName: String) {
-    /** They have stopped reporting while others go on, and hold up tasks or reconciliation. */
+    /** The machines have stopped reporting while others still report, and they block tasks or the reconciliation. */
     UNRESPONSIVE("unresponsive"),
 
-    /** They report, but the responses do not reach them. */
+    /** The machines send heartbeats, but the responses do not reach them. */
     LOSING_RESPONSES("losing_responses"),
 
-    /** They were drained, because they are not needed or because they are faulty, and have no task left. */
+    /** The machines were drained, as surplus or as faulty, and have no task left. */
     DRAINED("drained"),
 
-    /** By the cloud's list they have failed, have been silent for too long, or have not booted in time. */
+    /** Machines in the cloud's list that have failed, have not reported for too long, or have not booted in time. */
     FAILED_OR_SILENT("failed_or_silent"),
 }
--- a/src/main/kotlin/io/otterknot/autoscaling/ScaleOut.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ScaleOut.kt
@@ -9,14 +9,15 @@
 import kotlin.random.Random
 
 /**
- * Asks the cloud for machines. A request that gets no answer is repeated under the same name until it has one, since the
- * cloud may have carried it out; a kind of which the cloud has no more is not asked for again for a while.
+ * Requests machines from the cloud. A request without a response is retried under the same name until it is answered,
+ * since the cloud may have carried it out. A kind of which the cloud has no capacity left is not
+ * requested for a while.
  */
 class ScaleOut(
     private val cloud: CloudClient,
     private val catalog: MachineTypeCatalog,
     private val policy: ScalingPolicy,
-    private val led: LedPartitions,
+    private val ledPartitions: LedPartitions,
     private val expected: ExpectedMachines,
     private val nowMs: () -> Long,
     private val random: Random,
@@ -25,26 +26,26 @@
 
     private data class ZonedKind(val zone: String, val kind: MachineKind)
 
-    /** Requests without an answer, by name, the oldest first. */
+    /** Requests without a response, by request name, the oldest first. */
     private val unanswered = LinkedHashMap<String, ScaleOutRequest>()
     private val exhaustedUntilMs = HashMap<ZonedKind, Long>()
     private var requestCount = 0L
 
     fun hasUnanswered(zone: String): Boolean = unanswered.values.any { it.zone == zone }
 
-    /** Repeats the requests without an answer, but those of partitions that this controller leads no longer. */
+    /** Retries the unanswered requests, and drops those of partitions that this controller no longer leads. */
     suspend fun retryUnanswered() {
         for (request in unanswered.values.toList()) {
-            if (led.hasAcquired(request.zone)) {
+            if (ledPartitions.hasAcquired(request.zone)) {
                 send(request)
             } else {
-                // The next leader finds the machines, if there are any, in the cloud's list or by their heartbeats.
+                // The next leader finds any granted machines in the cloud's list or through their heartbeats.
                 unanswered.remove(request.request)
             }
         }
     }
 
-    /** Asks for what [policy] finds missing in [partition]. */
+    /** Requests the machines that [partition] lacks according to [policy]. */
     suspend fun requestMissing(partition: Partition, inputs: ScalingInputs, types: List<MachineType>) {
         val zone = partition.zone
         val now = nowMs()
@@ -52,7 +53,7 @@
             now < (exhaustedUntilMs[ZonedKind(zone, kind)] ?: 0L)
         }
         for (decision in decisions) {
-            // The fencing token makes the name new for each leader, the counter for each request of one leader.
+            // The fencing token makes the name unique among leaders, the counter among the requests of one leader.
             val name = "$zone-${partition.fencingToken}-${++requestCount}"
             val count = decision.count.coerceIn(1, MAX_MACHINES_PER_REQUEST)
             send(ScaleOutRequest(name, decision.kind.type, zone, decision.kind.spot, count))
@@ -74,7 +75,10 @@
         }
     }
 
-    /** Fewer machines than asked for: the cloud has no more of this kind. */
+    /**
+     * Records the granted [machines] as expected. If there are fewer than requested, the cloud has no more machines of
+     * this kind.
+     */
     private fun expect(request: ScaleOutRequest, machines: List<String>) {
         val kind = MachineKind(request.type, request.spot)
         val cores = catalog.type(request.type)?.cores ?: 0.0
@@ -96,13 +100,13 @@
     }
 
     private fun logFailure(request: ScaleOutRequest, error: String) =
-        log.debug("partition={} type={} error={} not scaled out", request.zone, request.type, error)
+        log.debug("partition={} type={} error={} scale-out not confirmed", request.zone, request.type, error)
 
     private companion object {
-        /** The largest number in one request (PROTOCOL, POST /machines). */
+        /** Maximum number of machines in one request (PROTOCOL, POST /machines). */
         const val MAX_MACHINES_PER_REQUEST = 50
 
-        /** A kind without capacity is not asked for again for this long, and up to as long again. */
+        /** A kind without capacity is not requested for this long plus a random delay of up to the same length. */
         const val EXHAUSTED_MS = 6_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/autoscaling/ScaleOutDecision.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ScaleOutDecision.kt
@@ -1,4 +1,4 @@
 package io.otterknot.autoscaling
 
-/** To scale a partition out by [count] machines of one [kind], which have [cores] cores together. */
+/** A decision to add [count] machines of one [kind], with [cores] cores in total, to a partition. */
 class ScaleOutDecision(val kind: MachineKind, val count: Int, val cores: Double)
--- a/src/main/kotlin/io/otterknot/autoscaling/ScalingInputs.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ScalingInputs.kt
@@ -1,8 +1,8 @@
 package io.otterknot.autoscaling
 
 /**
- * What a partition needs and what it has, in cores. Ordinary machines are those that are not spot instances; ordinary
- * demand is that of tasks, waiting or active, that must not run on spot instances. The totals include it.
+ * Demand and supply of a partition, in cores. Ordinary machines are machines that are not spot instances. Ordinary
+ * demand is that of pending and active tasks that must not run on spot instances. The totals include ordinary values.
  */
 class ScalingInputs(
     val ordinaryDemandCores: Double,
@@ -10,7 +10,7 @@
     val ordinarySupplyCores: Double,
     val totalSupplyCores: Double,
 ) {
-    /** The inputs once a machine of so many [cores] has been scaled in. */
+    /** Returns the inputs that result from scaling in one machine of [cores] cores. */
     fun without(spot: Boolean, cores: Double) = ScalingInputs(
         ordinaryDemandCores,
         totalDemandCores,
--- a/src/main/kotlin/io/otterknot/autoscaling/ScalingPolicy.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ScalingPolicy.kt
@@ -4,12 +4,13 @@
 import kotlin.math.ceil
 
 /**
- * How many machines to add and which can be spared: supply is to cover demand (see [DemandMeter]) and a headroom. Spot
- * instances are added for whatever may use them, ordinary machines only for work that must not. The amount is bounded by
- * demand, which the teams' quota limits bound, and by what the cloud has.
+ * Decides how many machines to add and which can be spared, so that supply covers demand (see [DemandMeter]) plus a
+ * headroom. Spot instances are added for all work that may run on them, ordinary machines for work that may not, and
+ * also for other work if no spot instance is available. The number of machines is bounded by demand, which the teams'
+ * quota limits bound, and by the capacity of the cloud.
  */
 class ScalingPolicy {
-    /** The machines to add in [zone]; kinds that [isExhausted] are not to be had at present. */
+    /** Returns the machines to add in [zone]. Kinds that satisfy [isExhausted] are not available at present. */
     fun scaleOut(
         inputs: ScalingInputs,
         types: List<MachineType>,
@@ -20,25 +21,25 @@
         val ordinary = offered.filterNot { isExhausted(MachineKind(it.name, spot = false)) }
             .minByOrNull { costPerCore(it, it.price) }
         val ordinaryGap = withHeadroom(inputs.ordinaryDemandCores) - inputs.ordinarySupplyCores
-        val forOrdinaryWork = ordinary?.let { covering(ordinaryGap, it, spot = false) }
+        val forOrdinaryWork = ordinary?.let { decisionForGap(ordinaryGap, it, spot = false) }
 
         val gap = withHeadroom(inputs.totalDemandCores) - inputs.totalSupplyCores - (forOrdinaryWork?.cores ?: 0.0)
         val spot = offered.filterNot { isExhausted(MachineKind(it.name, spot = true)) }
             .minByOrNull { costPerCore(it, it.spotPrice) }
-        if (spot != null) return listOfNotNull(forOrdinaryWork, covering(gap, spot, spot = true))
+        if (spot != null) return listOfNotNull(forOrdinaryWork, decisionForGap(gap, spot, spot = true))
         if (forOrdinaryWork != null) return listOf(forOrdinaryWork)
-        // No spot instance is to be had: an ordinary machine costs more, but the work would wait.
-        return listOfNotNull(ordinary?.let { covering(gap, it, spot = false) })
+        // No spot instance is available. Ordinary machines cost more, but without them the work would wait.
+        return listOfNotNull(ordinary?.let { decisionForGap(gap, it, spot = false) })
     }
 
-    /** Whether the partition can do without a machine of so many [cores]. */
+    /** Whether supply still covers demand and headroom without a machine of [cores] cores. */
     fun canSpare(inputs: ScalingInputs, spot: Boolean, cores: Double): Boolean {
         if (inputs.totalSupplyCores - cores < withHeadroom(inputs.totalDemandCores)) return false
         return spot || inputs.ordinarySupplyCores - cores >= withHeadroom(inputs.ordinaryDemandCores)
     }
 
-    /** As few machines of [type] as have [gapCores] cores; null: there is no gap. */
-    private fun covering(gapCores: Double, type: MachineType, spot: Boolean): ScaleOutDecision? {
+    /** Returns the smallest number of machines of [type] that have [gapCores] cores, or null if there is no gap. */
+    private fun decisionForGap(gapCores: Double, type: MachineType, spot: Boolean): ScaleOutDecision? {
         val count = ceil(gapCores / type.cores).toInt()
         if (count <= 0) return null
         return ScaleOutDecision(MachineKind(type.name, spot), count, count * type.cores)
@@ -47,20 +48,20 @@
     private fun withHeadroom(demandCores: Double): Double = demandCores * (1 + HEADROOM)
 
     /**
-     * What a core costs while it works, for a short stay: its boot and the fetch of an image, in which it does nothing
-     * yet, are paid too.
+     * Returns the cost of a core per unit of useful time if the machine is used for [MIN_USE_S]. The machine is also
+     * paid for while it boots and fetches an image, before it runs tasks.
      */
     private fun costPerCore(type: MachineType, price: Double): Double {
         val fetchS = if (type.fetchGbPerS > 0) TYPICAL_IMAGE_GB / type.fetchGbPerS else 0.0
-        return price / type.cores * (SHORT_STAY_S + type.bootS + fetchS) / SHORT_STAY_S
+        return price / type.cores * (MIN_USE_S + type.bootS + fetchS) / MIN_USE_S
     }
 
     private companion object {
         /** Supply beyond demand, as a share of demand. */
         const val HEADROOM = 0.15
 
-        /** How long a machine works at the least, once it is up. */
-        const val SHORT_STAY_S = 60.0
+        /** Minimum time for which a machine is used after it has booted and fetched an image. */
+        const val MIN_USE_S = 60.0
         const val TYPICAL_IMAGE_GB = 2.0
     }
 }
--- a/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
+++ b/src/main/kotlin/io/otterknot/quota/QuotaShares.kt
@@ -10,8 +10,8 @@
 import io.otterknot.store.StoreReplica
 
 /**
- * How each team's quota limit is divided among the partitions, as the replica shows it. The shares of a team add up to
- * its limit at any time; they change only by [QuotaTransfers].
+ * The division of each team's quota limit among the partitions, as the replica shows it. The shares of a team always
+ * add up to its limit; only [QuotaTransfers] changes them.
  */
 class QuotaShares(
     private val replica: StoreReplica,
@@ -19,56 +19,56 @@
     private val teams: List<TeamSettings>,
     private val zones: List<String>,
 ) {
-    /** Shares from which an amount is being transferred with an unknown outcome: they stay lowered meanwhile. */
-    private val lowered = HashSet<ShareKey>()
+    /** Shares that stay lowered because the outcome of a transfer from them is not known yet. */
+    private val loweredShares = HashSet<ShareKey>()
 
     private data class ShareKey(val zone: String, val team: String)
 
-    /** The names of the teams that have a limit at all. */
+    /** The names of the teams that have a quota limit. */
     val limitedTeams: List<String> = teams.filter { it.cpusMax > 0 || it.gpusMax > 0 }.map { it.name }
 
-    /** The shares of [team], a team of the settings, by zone. */
+    /** Returns the shares by zone of [team], which must be a team of the settings. */
     fun of(team: String): QuotaSharesRecord = snapshot(team).value ?: evenShares(team)
 
-    /** The stored shares of [team]; without a value until something has been transferred. */
+    /** Returns the stored shares of [team]; the snapshot has no value until the first transfer of the team's quota. */
     fun snapshot(team: String): Snapshot<QuotaSharesRecord> =
         replica.snapshot(StoreKeys.quotaShares(team)).map { decodeRecord(QuotaSharesRecord.serializer(), it) }
 
-    /** The replica shows another division of the limit of [team]: the partitions led here take their shares over. */
+    /** Applies the shares of [team] that the replica shows to the partitions that this controller leads. */
     fun sharesChanged(team: String) {
         if (teams.none { it.name == team }) return
         val shares = of(team)
         for (partition in partitions.values) {
-            if (ShareKey(partition.zone, team) in lowered) continue
+            if (ShareKey(partition.zone, team) in loweredShares) continue
             partition.quota.setShare(team, shares.byZone[partition.zone] ?: QuotaAmount())
         }
     }
 
     /**
-     * Runs [transfer] with the share of [team] in [partition] lowered to [remaining], whatever the replica shows
-     * meanwhile, and then sets the share to what the replica shows.
+     * Runs [transfer] with the share of [team] in [partition] lowered to [remaining], and afterwards sets the share to
+     * the value that the replica shows. Changes that the replica shows during [transfer] are not applied to this share.
      *
-     * The giver stops using what it gives before it asks for the transaction, so at no moment can the partitions
-     * together use more than the limit ("Team limits" in `docs/design.md`).
+     * The source partition stops using the amount before it sends the transaction, so the partitions together never use
+     * more than the limit ("Team limits" in `docs/design.md`).
      */
-    suspend fun whileLowered(
+    suspend fun withLoweredShare(
         partition: Partition,
         team: String,
         remaining: QuotaAmount,
         transfer: suspend () -> Unit,
     ) {
         val share = ShareKey(partition.zone, team)
-        lowered.add(share)
+        loweredShares.add(share)
         partition.quota.setShare(team, remaining)
         try {
             transfer()
         } finally {
-            lowered.remove(share)
+            loweredShares.remove(share)
             sharesChanged(team)
         }
     }
 
-    /** What holds until something has been transferred. */
+    /** Returns equal shares for all zones, which apply until the first transfer. */
     private fun evenShares(team: String): QuotaSharesRecord {
         val settings = teams.first { it.name == team }
         return QuotaSharesRecord.even(zones, settings.cpusMax, settings.gpusMax)
--- a/src/main/kotlin/io/otterknot/quota/QuotaTransfers.kt
+++ b/src/main/kotlin/io/otterknot/quota/QuotaTransfers.kt
@@ -13,7 +13,10 @@
 import org.slf4j.LoggerFactory
 import kotlin.random.Random
 
-/** Transfers what a partition can spare of a team's quota to one that needs it. The leader of the giver does it. */
+/**
+ * Transfers the part of a team's quota share that one partition can spare to a partition that needs it. The leader of
+ * the source partition does this.
+ */
 class QuotaTransfers(
     private val shares: QuotaShares,
     private val transactions: FencedTransactions,
@@ -25,17 +28,17 @@
 ) {
     private val log = LoggerFactory.getLogger(QuotaTransfers::class.java)
 
-    /** Looks for transfers to make until cancelled. */
+    /** Periodically transfers quota from the partitions that this controller leads, until cancelled. */
     suspend fun run() {
         while (true) {
             delay(PERIOD_MS + random.nextLong(PERIOD_JITTER_MS))
             for (partition in partitions.values.toList()) {
-                for (team in shares.limitedTeams) consider(partition, team)
+                for (team in shares.limitedTeams) transferIfNeeded(partition, team)
             }
         }
     }
 
-    private suspend fun consider(partition: Partition, team: String) {
+    private suspend fun transferIfNeeded(partition: Partition, team: String) {
         if (!leadership.mayActFor(partition) || !partition.reconciled) return
         val receiver = views.values.firstOrNull { it.zone != partition.zone && team in it.needs } ?: return
         val need = receiver.needs.getValue(team)
@@ -53,7 +56,7 @@
         val value = encodeRecord(QuotaSharesRecord.serializer(), record.transferred(zone, receiver, amount))
         val change = CompareAndSwap.put(stored, value)
         if (!limits.fits(change)) return
-        shares.whileLowered(partition, team, remaining = share - amount) {
+        shares.withLoweredShare(partition, team, remaining = share - amount) {
             val settlement = transactions.settle(partition, change)
             log.info(
                 "partition={} team={} receiver={} cores={} cards={} settlement={} quota transfer settled",
@@ -71,7 +74,7 @@
         const val PERIOD_MS = 1_000L
         const val PERIOD_JITTER_MS = 500L
 
-        /** Cores or GPUs; less than this is a rounding error. */
+        /** Minimum amount of a transfer, in cores or GPUs; anything smaller is a rounding error. */
         const val MIN_AMOUNT = 1e-3
     }
 }
--- a/src/main/kotlin/io/otterknot/reassignment/LoadBeforeReassignment.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/LoadBeforeReassignment.kt
@@ -4,8 +4,8 @@
 import io.otterknot.wire.JobSpec
 
 /**
- * The load of a partition between two reassignments. Each figure is a sum over all machines and jobs, so it is computed
- * once and only if it is asked for.
+ * The load of a partition between two reassignments. Each value is a sum over all machines and jobs, so it is computed
+ * on first use and then cached.
  */
 internal class LoadBeforeReassignment(partition: Partition) {
     private val mean by lazy(LazyThreadSafetyMode.NONE) { partition.load.mean() }
@@ -13,9 +13,9 @@
     private val cores by lazy(LazyThreadSafetyMode.NONE) { partition.load.totalCores }
     private val ordinaryCores by lazy(LazyThreadSafetyMode.NONE) { partition.load.ordinaryCores }
 
-    /** The mean load of the machines that tasks of [spec] may run on. */
+    /** Returns the mean load of the machines that tasks of [spec] may run on. */
     fun meanFor(spec: JobSpec): Double = if (spec.spot) mean else ordinaryMean
 
-    /** The cores of the machines that tasks of [spec] may run on. */
+    /** Returns the total cores of the machines that tasks of [spec] may run on. */
     fun coresFor(spec: JobSpec): Double = if (spec.spot) cores else ordinaryCores
 }
--- a/src/main/kotlin/io/otterknot/reassignment/ReassignmentTargets.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/ReassignmentTargets.kt
@@ -4,7 +4,7 @@
 import io.otterknot.scheduling.PartitionView
 import io.otterknot.wire.JobSpec
 
-/** What the rest of the controller says of reassignments. */
+/** Constraints that other components of the controller place on reassignments. */
 interface ReassignmentConstraints {
     /** Whether the cloud offers machines in [zone] that tasks of [spec] can run on. */
     fun offers(zone: String, spec: JobSpec): Boolean
@@ -19,11 +19,13 @@
     private val leadership: PartitionLeadership,
     private val constraints: ReassignmentConstraints,
 ) {
+    /** See [ReassignmentConstraints.isDecidedElsewhere]. */
     fun isDecidedElsewhere(zone: String): Boolean = constraints.isDecidedElsewhere(zone)
 
     /**
-     * Of the partitions other than that of [zone] in which tasks of [spec] can run and which somebody leads, the one
-     * with the lowest mean load for them; null if there is none.
+     * Returns the partition with the lowest mean load for [spec], or null if no partition is eligible. A partition
+     * other than that of [zone] is eligible if it has a leader and its zone offers machines that tasks of [spec] can
+     * run on.
      */
     fun bestFor(spec: JobSpec, zone: String): PartitionView? =
         views.values.filter { it.zone != zone && isEligible(it, spec) }.minByOrNull { it.meanFor(spec) }
--- a/src/main/kotlin/io/otterknot/reassignment/ReassignmentTransactions.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/ReassignmentTransactions.kt
@@ -9,37 +9,40 @@
 import org.slf4j.LoggerFactory
 import java.util.BitSet
 
-/** What has become of a reassignment. */
+/** The outcome of a reassignment. */
 enum class ReassignmentOutcome {
     REASSIGNED,
 
-    /** The tasks wait where they did. */
+    /** The tasks remain pending in the source partition. */
     NOT_REASSIGNED,
 
-    /** The partition has another leader by now, who finds the tasks in one partition or the other. */
+    /**
+     * This controller no longer leads the source partition. The next leader reads from the store which of the two
+     * partitions the tasks belong to.
+     */
     LEADERSHIP_LOST,
 }
 
 /**
- * Reassigns waiting tasks of a partition to another one, in a transaction that is guarded by the version of the job and
- * by the leader record of the giving partition. Until its outcome is known the tasks wait in neither partition, so none
- * can be started twice.
+ * Reassigns pending tasks of a partition to another one, in a transaction that is guarded by the version of the job and
+ * by the leader record of the source partition. Until the outcome of the transaction is known, the tasks are pending in
+ * neither partition, so no task can be started twice.
  */
 class ReassignmentTransactions(private val transactions: FencedTransactions, private val limits: WriteLimits) {
     private val log = LoggerFactory.getLogger(ReassignmentTransactions::class.java)
 
     /**
-     * Reassigns [tasks] of [job], which [Partition.reserveForReassignment] has set aside in [partition], to the
-     * partition of [receiver].
+     * Reassigns [tasks] of [job], which [Partition.reserveForReassignment] has reserved in [partition], to the
+     * partition of [targetZone].
      */
     suspend fun reassign(
         partition: Partition,
         job: PartitionJob,
         tasks: BitSet,
-        receiver: String,
+        targetZone: String,
     ): ReassignmentOutcome {
-        val change = JobTransitions.reassign(job.job, tasks, receiver)
-        // A value that is too large would be refused.
+        val change = JobTransitions.reassign(job.job, tasks, targetZone)
+        // The store would refuse a value that exceeds its size limit.
         if (change == null || !limits.fits(change)) {
             partition.completeReassignment(job, tasks)
             return ReassignmentOutcome.NOT_REASSIGNED
@@ -51,7 +54,7 @@
             partition.zone,
             job.id,
             tasks.cardinality(),
-            receiver,
+            targetZone,
             settlement,
         )
         partition.completeReassignment(job, tasks)
--- a/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
@@ -10,10 +10,10 @@
 import kotlin.random.Random
 
 /**
- * Reassigns tasks that wait in a partition to one with a lower mean load. The leader of the giving partition does it.
+ * Reassigns pending tasks of a partition to one with a lower mean load. The leader of the source partition does this.
  *
- * @param nowMs the steady clock, which orders jobs
- * @param wallMs the wall clock, which says for how long they have waited
+ * @param nowMs the monotonic clock, which determines the order of pending jobs
+ * @param wallMs the wall clock, from which the waiting time of a job is computed
  */
 class TaskReassigner(
     private val transactions: ReassignmentTransactions,
@@ -24,7 +24,7 @@
     private val wallMs: () -> Long,
     private val random: Random,
 ) {
-    /** Looks for reassignments to make until cancelled. */
+    /** Periodically reassigns tasks of the partitions that this controller leads, until cancelled. */
     suspend fun run() {
         while (true) {
             delay(PERIOD_MS + random.nextLong(PERIOD_JITTER_MS))
@@ -34,7 +34,10 @@
         }
     }
 
-    /** Reassigns tasks of the most urgent jobs of [partition] for which that is worth while. */
+    /**
+     * Reassigns pending tasks of [partition], in the order of its pending jobs, skipping jobs for which no reassignment
+     * is due. Makes at most [MAX_REASSIGNMENTS] reassignments.
+     */
     private suspend fun reassignFrom(partition: Partition) {
         if (!leadership.mayActFor(partition) || !partition.reconciled) return
         var reassignmentCount = 0
@@ -55,11 +58,13 @@
     private fun isReassignable(job: PartitionJob): Boolean {
         val spec = job.spec
         if (job.finished || spec.zone != null || job.pending.isEmpty) return false
-        // All tasks of such a job are in one zone: it is reassigned as a whole or not at all.
+        // All tasks of a same-zone job must run in one zone, so either all of them are reassigned or none.
         return !spec.sameZone || job.allTasksPending
     }
 
-    /** Sets aside the tasks of [job] that are to be reassigned to [target]; null if it is not worth while. */
+    /**
+     * Reserves the tasks of [job] that are to be reassigned to [target], and returns them, or null if there are none.
+     */
     private fun reserveTasks(
         partition: Partition,
         load: LoadBeforeReassignment,
@@ -70,19 +75,22 @@
         return partition.reserveForReassignment(job, cores).takeUnless { it.isEmpty }
     }
 
-    /** How many cores' worth of tasks of [job] should wait at [target] instead; null if none should. */
+    /**
+     * Returns how many cores of pending tasks of [job] are to be reassigned to [target], or null if the mean loads do
+     * not differ enough or a same-zone job is too large.
+     */
     private fun coresToReassign(load: LoadBeforeReassignment, job: PartitionJob, target: PartitionView): Double? {
         val spec = job.spec
         val targetMean = target.meanFor(spec)
         val gap = load.meanFor(spec) - targetMean
-        val hasWaitedLong = LongWaitPolicy.mayMove((wallMs() - job.readyMs) / MS_PER_S, targetMean)
-        val minGap = if (hasWaitedLong) LongWaitPolicy.MIN_MEAN_GAP else MIN_GAP
+        val mayMoveAfterLongWait = LongWaitPolicy.mayMove((wallMs() - job.readyMs) / MS_PER_S, targetMean)
+        val minGap = if (mayMoveAfterLongWait) LongWaitPolicy.MIN_MEAN_GAP else MIN_GAP
         if (gap < minGap) return null
-        // Half of the gap, in cores of the smaller partition: both means then meet, and nothing swings back.
+        // Half of the gap, in cores of the smaller partition, equalizes the means without a later reassignment back.
         val targetCores = if (spec.spot) target.cores else target.ordinaryCores
         val balancingCores = gap / 2 * minOf(maxOf(load.coresFor(spec), 1.0), maxOf(targetCores, 1.0))
         if (!spec.sameZone) return maxOf(balancingCores, spec.cores)
-        val isTooLarge = !hasWaitedLong && job.pendingCores > balancingCores * 2
+        val isTooLarge = !mayMoveAfterLongWait && job.pendingCores > balancingCores * 2
         return if (isTooLarge) null else Double.MAX_VALUE
     }
 
@@ -91,7 +99,7 @@
         const val PERIOD_JITTER_MS = 400L
         const val MAX_REASSIGNMENTS = 3
 
-        /** By how much the mean loads of two partitions must differ. */
+        /** Minimum difference between the mean loads of two partitions, unless the long-wait rule applies. */
         const val MIN_GAP = 0.15
         const val MS_PER_S = 1000.0
     }
--- a/src/test/kotlin/io/otterknot/autoscaling/DemandWindowTest.kt
+++ b/src/test/kotlin/io/otterknot/autoscaling/DemandWindowTest.kt
@@ -5,7 +5,7 @@
 
 class DemandWindowTest {
     @Test
-    fun `the quantile of recent demand is supplied, or present demand if that is more`() {
+    fun `update returns the quantile of recent demand, or current demand if that is higher`() {
         val window = DemandWindow(spanMs = 20_000, sampleIntervalMs = 1_000)
         var nowMs = 0L
         for (demand in listOf(100.0, 10.0, 10.0, 10.0, 10.0, 10.0, 10.0, 10.0, 10.0)) {
--- a/src/test/kotlin/io/otterknot/autoscaling/ScalingPolicyTest.kt
+++ b/src/test/kotlin/io/otterknot/autoscaling/ScalingPolicyTest.kt
@@ -7,14 +7,16 @@
 import org.junit.jupiter.api.Test
 
 class ScalingPolicyTest {
-    /** Per core the slow type is cheaper, but it boots for so long that for a short stay the fast one costs less. */
+    /**
+     * The slow type has the lower price per core, but with boot time included the fast type costs less for short use.
+     */
     private val types = listOf(
         MachineType("slow", 32.0, 0.0, 64.0, price = 2.0, spotPrice = 0.7, bootS = 40.0, zones = listOf("a")),
         MachineType("fast", 16.0, 0.0, 64.0, price = 1.2, spotPrice = 0.4, bootS = 15.0, zones = listOf("a")),
     )
     private val policy = ScalingPolicy()
 
-    /** What is added for a demand without any supply. */
+    /** Returns the decisions for the given demand when there is no supply. */
     private fun scaleOut(
         ordinaryDemandCores: Double,
         totalDemandCores: Double,
@@ -32,7 +34,7 @@
     }
 
     @Test
-    fun `a dearer type is added when the cheapest is exhausted`() {
+    fun `a more expensive type is added when the cheapest is exhausted`() {
         val decisions = scaleOut(0.0, 100.0) { it.type == "fast" }
         assertEquals(listOf("slow" to true), decisions.map { it.kind.type to it.kind.spot })
     }
@@ -55,7 +57,7 @@
     }
 
     @Test
-    fun `an ordinary machine that ordinary demand needs cannot be spared`() {
+    fun `an ordinary machine that ordinary demand requires cannot be spared`() {
         assertFalse(policy.canSpare(ScalingInputs(30.0, 40.0, 32.0, 96.0), spot = false, cores = 16.0))
     }
 }
