--- a/src/main/kotlin/io/otterknot/controller/BackgroundTasks.kt
+++ b/src/main/kotlin/io/otterknot/controller/BackgroundTasks.kt
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Supervises the background tasks of a controller, each a named coroutine in [scope]. A task that fails, or returns, is
- * started again after [RESTART_DELAY_MS]: no other controller does its work. Cancelling the scope ends all of them.
+ * Supervises the background tasks of a controller, each a named coroutine in [scope]. A task that fails or returns is
+ * restarted after [RESTART_DELAY_MS], since no other controller does its work. Cancelling the scope ends all tasks.
  */
 class BackgroundTasks(private val scope: CoroutineScope) {
     private val log = LoggerFactory.getLogger(BackgroundTasks::class.java)
@@ -24,8 +24,11 @@
         }
     }
 
-    /** Any exception but cancellation is logged with its cause; coroutines that the task has started end with it. */
-    @Suppress("TooGenericExceptionCaught") // Whatever ends a task, no other controller does its work.
+    /**
+     * Runs [task] until it fails or returns; the coroutines that it has started end with it. Logs any exception except
+     * cancellation with its cause.
+     */
+    @Suppress("TooGenericExceptionCaught") // A task is restarted after any failure: no other controller does its work.
     private suspend fun runLoggingFailure(name: String, task: suspend () -> Unit) {
         try {
             coroutineScope { task() }
--- a/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
+++ b/src/main/kotlin/io/otterknot/controller/CompletionSegments.kt
@@ -13,11 +13,11 @@
 
 /**
  * Decides how newly completed tasks are written. Completions of all jobs of a partition go to one segment until it is
- * full; entries of finished jobs are dropped with the segment's next change, and a segment that has none but these is
- * removed. Owns no state: what is stored comes from the job table, what is not yet from the partition.
+ * full. Entries of finished jobs are dropped when the segment changes next; a segment that has only such entries is
+ * removed. Owns no state: recorded completions come from the job table, unrecorded ones from the partition.
  */
 class CompletionSegments(private val jobs: JobTable, private val limits: WriteLimits) : PartitionWriteSource {
-    /** The writes that make all completions of [partition] durable, then those that remove obsolete segments. */
+    /** Returns the writes that make all completions of [partition] durable, then the removals of obsolete segments. */
     override fun writes(partition: Partition): List<PendingWrite> {
         val segments = jobs.completionSegments(StoreKeys.completionSegment(partition.zone, ""))
         val additions = additions(partition, segments)
@@ -26,6 +26,7 @@
         return additions + removedKeys.map { PendingWrite(it, null) }
     }
 
+    /** Whether all entries of [record] belong to finished jobs. */
     private fun isObsolete(record: CompletionSegmentRecord): Boolean =
         (record.bitmaps.keys + record.fineBitmaps?.keys.orEmpty()).none(jobs::isBitmapNeeded)
 
@@ -47,7 +48,7 @@
         return writes
     }
 
-    /** The tasks of one job that share an entry of a segment. */
+    /** The range of tasks of one job that is stored in one entry of a segment. */
     private class Chunk(val job: PartitionJob, val index: Int) {
         val size = TaskBitmaps.chunkSize(job.spec.tasks)
         val name = TaskBitmaps.chunkName(job.id, index)
@@ -68,7 +69,7 @@
         return keys.filter { it.startsWith(prefix) }.maxOfOrNull { it.removePrefix(prefix).toInt() } ?: 0
     }
 
-    /** A segment under construction, which begins with what [record] says of jobs that are not finished. */
+    /** Builds a segment, starting with the entries of [record] whose jobs are not finished. */
     private inner class SegmentBuilder(record: CompletionSegmentRecord) {
         private val bitmaps = record.bitmaps.filterKeys(jobs::isBitmapNeeded).toMutableMap()
         private val fineBitmaps = record.fineBitmaps.orEmpty().filterKeys(jobs::isBitmapNeeded).toMutableMap()
@@ -77,21 +78,21 @@
             private set
 
         /**
-         * Adds completions, with those that the entry holds already; false, and nothing is added, if that makes the
-         * segment too large. An empty segment takes anything.
+         * Merges the unrecorded completions of [chunk] into its entry. Returns false and changes nothing if the segment
+         * would become too large; an empty segment accepts a chunk of any size.
          */
         fun add(chunk: Chunk): Boolean {
             val entries = if (chunk.size == TaskBitmaps.CHUNK_TASKS) bitmaps else fineBitmaps
             val tasks = chunk.job.unrecordedCompletions.clone() as BitSet
             entries[chunk.name]?.let { TaskBitmaps.decodeInto(it, chunk.index, tasks, chunk.size) }
             val text = TaskBitmaps.encode(tasks, chunk.index, chunk.size)
-            if (!hasRoomFor(chunk, text, entries[chunk.name])) return false
+            if (!fits(chunk, text, entries[chunk.name])) return false
             entries[chunk.name] = text
             isChanged = true
             return true
         }
 
-        private fun hasRoomFor(chunk: Chunk, text: String, replaced: String?): Boolean {
+        private fun fits(chunk: Chunk, text: String, replaced: String?): Boolean {
             if (bitmaps.isEmpty() && fineBitmaps.isEmpty()) return true
             val replacedBytes = replaced?.let { entryBytes(chunk.name, it) } ?: 0
             return bytes() - replacedBytes + entryBytes(chunk.name, text) <= limits.maxRecordBytes
@@ -110,7 +111,7 @@
     }
 
     private companion object {
-        /** What surrounds name and text of an entry: quotes, a colon and a comma. */
+        /** The JSON syntax around the name and the text of an entry: four quotes, a colon and a comma. */
         const val ENTRY_OVERHEAD_BYTES = 6
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -42,21 +42,22 @@
 import kotlin.random.Random
 
 /**
- * One controller: the composition root, which wires the modules and starts their background tasks. Everything runs on
- * one thread, so no state needs a lock; what must hold across a suspension point is checked again after it.
+ * The composition root of a controller: wires the modules and starts their background tasks. Everything runs on one
+ * thread, so no state needs a lock; a condition that must hold across a suspension point is checked again after it.
  *
- * Of the state that several modules share, each part has one writer: the replica its watch, the job table and the views
- * of partitions [ReplicaChangeDispatcher], the partitions in service [PartitionActivator].
+ * State that several modules share has one writer for each part: the watch updates the replica,
+ * [ReplicaChangeDispatcher] the job table and the loads in the partition views, [IdlePartitions] the idle machines in
+ * these views, and [PartitionActivator] the map of partitions in service.
  */
 class Controller(
     settings: Settings,
     transports: ControllerTransports,
     random: Random,
-    /** A steady clock, in milliseconds from an arbitrary moment. */
+    /** A steady (monotonic) clock, in milliseconds since an arbitrary moment. */
     nowMs: () -> Long,
-    /** The time of day, in milliseconds since 1970. */
+    /** The wall clock, in milliseconds since 1970. */
     wallMs: () -> Long,
-    /** The operators' own settings as they are now. */
+    /** Returns the operators' settings that are in force now. */
     operatorSettings: () -> OperatorSettings = { OperatorSettings() },
 ) {
     private val site = settings.facts
@@ -147,13 +148,13 @@
         JobFinalizer(store.access, jobs, leadership, wallMs),
     )
 
-    private val isolation = IsolationDetector(store.health, store.relays, nowMs)
+    private val isolationDetector = IsolationDetector(store.health, store.relays, nowMs)
     private val jobApi = JobApi(
         JobStoreAccess(store.client, store.replica, jobs, store.limits),
         JobAdmission(site.teams) { catalog.types },
         partitions,
         partitionViews = { views.values.toList() },
-        isolation::isIsolated,
+        isolationDetector::isIsolated,
         wallMs,
         random,
     )
@@ -176,7 +177,10 @@
         startBackgroundTasks(BackgroundTasks(this))
     }
 
-    /** The order is part of the behaviour: tasks first run, and draw random numbers, in the order of their start. */
+    /**
+     * Starts the background tasks. The order is part of the behaviour: tasks run for the first time, and draw random
+     * numbers, in the order in which they are started.
+     */
     private fun startBackgroundTasks(tasks: BackgroundTasks) {
         tasks.start("store-probe") { store.connection.probe() }
         tasks.start("replica-watch") { store.replica.followWatch() }
@@ -195,7 +199,7 @@
         tasks.start("partition-sweeper") { sweeper.run() }
     }
 
-    /** Waits until the replica has been read for the first time. */
+    /** Waits until the replica has been loaded for the first time. */
     suspend fun awaitLoaded() = store.replica.awaitLoaded()
 
     /** Answers a request of a user, a worker or the load balancer. */
@@ -204,10 +208,10 @@
     /** Answers a request of another controller. */
     suspend fun handlePeerRequest(request: PeerMessage): PeerMessage = peerRequests.handle(request)
 
-    /** How many moves of load spread have ended in each state, by kind, in the partitions led now. */
+    /** Counts the moves of load spread that have ended in the partitions led now, by kind and terminal state. */
     fun moveEnds(): Map<Pair<MoveKind, MoveState>, Int> = loadSpread.endedMoveCounts()
 
-    /** Passes changes of leadership on; the activator itself needs the leadership to be built first. */
+    /** Forwards leadership changes to [activator], which can only be constructed after [leadership]. */
     private inner class ActivationListener : LeadershipListener {
         override fun leadershipAcquired(acquisition: LeadershipAcquisition) = activator.enqueue(acquisition)
         override fun leadershipLost(zone: String) = activator.deactivate(zone)
--- a/src/main/kotlin/io/otterknot/controller/ControllerLeadershipHost.kt
+++ b/src/main/kotlin/io/otterknot/controller/ControllerLeadershipHost.kt
@@ -3,7 +3,7 @@
 import io.otterknot.autoscaling.MachineTypeCatalog
 import io.otterknot.leadership.LeadershipHost
 
-/** What leadership sees of the controller that it runs in. Owns no state. */
+/** Gives leadership access to the machine types and registered machines of its controller. Owns no state. */
 internal class ControllerLeadershipHost(
     private val catalog: MachineTypeCatalog,
     private val machines: RegisteredMachines,
--- a/src/main/kotlin/io/otterknot/controller/ControllerLoadSpreadHost.kt
+++ b/src/main/kotlin/io/otterknot/controller/ControllerLoadSpreadHost.kt
@@ -11,7 +11,7 @@
 import io.otterknot.store.StoreHealth
 import io.otterknot.wire.JobSpec
 
-/** What load spread sees of the controller that it runs in. Owns no state. */
+/** Gives load spread access to the state of its controller. Owns no state. */
 internal class ControllerLoadSpreadHost(
     override val partitions: Map<String, Partition>,
     override val views: Map<String, PartitionView>,
--- a/src/main/kotlin/io/otterknot/controller/ControllerReassignmentConstraints.kt
+++ b/src/main/kotlin/io/otterknot/controller/ControllerReassignmentConstraints.kt
@@ -5,7 +5,10 @@
 import io.otterknot.rebalance.LoadSpread
 import io.otterknot.wire.JobSpec
 
-/** What limits the reassignment of tasks: machine types, and load spread where it decides. Owns no state. */
+/**
+ * Restricts the reassignment of tasks: the target zone must offer a suitable machine type, and load spread may decide
+ * the reassignments of a zone instead. Owns no state.
+ */
 internal class ControllerReassignmentConstraints(
     private val catalog: MachineTypeCatalog,
     private val loadSpread: LoadSpread,
--- a/src/main/kotlin/io/otterknot/controller/IsolationDetector.kt
+++ b/src/main/kotlin/io/otterknot/controller/IsolationDetector.kt
@@ -3,21 +3,22 @@
 import io.otterknot.store.RelayPool
 import io.otterknot.store.StoreHealth
 
-/** Whether this controller is cut off from everything that it needs to serve users. Owns no state of its own. */
+/** Detects that this controller is isolated from the key-value store and from all its peers. Owns no state. */
 class IsolationDetector(
     private val storeHealth: StoreHealth,
     private val relays: RelayPool,
     private val nowMs: () -> Long,
 ) {
     /**
-     * Neither the store nor any peer answers: users are better off at another controller. When peers answer but have
-     * lost the store too, all controllers are in the same position and sending users away would help nobody.
+     * Whether neither the store nor any peer answers, so that another controller can serve users better. If peers
+     * answer but cannot reach the store either, all controllers are affected alike, and redirecting users would not
+     * help.
      */
     fun isIsolated(): Boolean =
-        storeHealth.unreachable.value && relays.noPeerAnswers && nowMs() - storeHealth.lastAnswerMs > STORE_SILENCE_MS
+        storeHealth.unreachable.value && relays.noPeerAnswers && nowMs() - storeHealth.lastAnswerMs > MIN_OUTAGE_MS
 
     private companion object {
-        /** How long the store must have been silent; shorter gaps are ridden out by retrying. */
-        const val STORE_SILENCE_MS = 3_500L
+        /** The minimum time since the store's last answer; shorter interruptions are handled by retries. */
+        const val MIN_OUTAGE_MS = 3_500L
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/JobFinalizer.kt
+++ b/src/main/kotlin/io/otterknot/controller/JobFinalizer.kt
@@ -9,9 +9,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Writes the final states of jobs. The leader of a job's home partition makes it final once the completions of all its
- * tasks are durable, or once a job that it depends on is cancelled; the job API reports the latter without waiting for
- * the write. Owns no state.
+ * Writes the terminal states of jobs. The leader of a job's home partition writes the job's terminal state once the
+ * completions of all its tasks are durable, or once a job that it depends on is cancelled; the job API reports such a
+ * cancellation without waiting for the write. Owns no state.
  */
 class JobFinalizer(
     private val store: StoreAccess,
@@ -21,7 +21,7 @@
 ) {
     private val log = LoggerFactory.getLogger(JobFinalizer::class.java)
 
-    /** Writes all final states that are due; stops at the first transaction that fails, as its cause may last. */
+    /** Writes all terminal states that are due; stops at the first failed transaction, as its cause may persist. */
     suspend fun finishAll() {
         val dueByHomeZone = jobs.activeJobs.filter(::isDue).groupBy { it.record?.homeZone.orEmpty() }
         for ((homeZone, due) in dueByHomeZone) {
@@ -32,12 +32,13 @@
         }
     }
 
+    /** Whether [job] has an unrecorded terminal state and this controller leads its home partition. */
     private fun isDue(job: Job): Boolean {
         if (job.unrecordedTerminalState == null) return false
         return job.record?.homeZone?.let(leadership::acquiredToken) != null
     }
 
-    /** A job that has further keys to remove is in a batch of its own. */
+    /** Splits [due] into batches. A job whose dependency segments must be removed too gets a batch of its own. */
     private fun batches(due: List<Job>): List<List<Job>> {
         val (large, small) = due.partition { (it.record?.dependencySegments ?: 0) > 0 }
         val size =
@@ -46,22 +47,23 @@
     }
 
     /**
-     * Whether to go on with further batches. Some jobs of [batch] may have been cancelled while earlier batches were
-     * written, so what ends them is decided only now, by their present state.
+     * Writes the terminal states of [batch] and returns whether to continue with further batches. Some of its jobs may
+     * have been cancelled while earlier batches were written, so each terminal state is decided here, from the current
+     * state of the job.
      */
     private suspend fun finish(homeZone: String, batch: List<Job>): Boolean {
         val leaderCondition = leadership.leadershipCondition(homeZone) ?: return true
-        val ends = batch.filter(::isDue).mapNotNull { JobTransitions.finish(it, wallMs(), store.limits) }
-        if (ends.isEmpty()) return true
-        val change = ends.reduce(CompareAndSwap::plus).withCondition(leaderCondition)
+        val transitions = batch.filter(::isDue).mapNotNull { JobTransitions.finish(it, wallMs(), store.limits) }
+        if (transitions.isEmpty()) return true
+        val change = transitions.reduce(CompareAndSwap::plus).withCondition(leaderCondition)
         store.client.rateLimiter.acquireSpare(change.size)
         return when (val outcome = store.client.transact(change)) {
             is TransactionOutcome.Applied -> {
-                log.debug("final states written keys={}", change.changes.map { it.key })
+                log.debug("keys={} terminal states written", change.changes.map { it.key })
                 store.replica.awaitRevision(outcome.revision, REPLICA_TIMEOUT_MS)
             }
 
-            // Some job was cancelled or reassigned meanwhile; the next turn decides by what the replica then shows.
+            // A job was cancelled or its tasks reassigned meanwhile; the next round decides from the updated replica.
             is TransactionOutcome.Conflict -> store.replica.awaitRevision(outcome.revision, REPLICA_TIMEOUT_MS)
 
             is TransactionOutcome.Refused -> {
@@ -74,7 +76,7 @@
     }
 
     private companion object {
-        /** How long to wait until the replica shows a transaction's outcome. */
+        /** How long to wait for the replica to reach the revision of a transaction. */
         const val REPLICA_TIMEOUT_MS = 1_500L
 
         /** A larger batch would conflict more often with cancellations. */
--- a/src/main/kotlin/io/otterknot/controller/LeadershipRequester.kt
+++ b/src/main/kotlin/io/otterknot/controller/LeadershipRequester.kt
@@ -8,8 +8,8 @@
 import kotlin.random.Random
 
 /**
- * Asks for a partition while this controller leads none and a peer leads several, as after a restart. What the peer
- * answers is of no interest: if it transfers the leadership, the replica shows a partition without a leader.
+ * Requests the leadership of a partition while this controller leads none and a peer leads several, as after a restart.
+ * The peer's response is ignored: if it transfers the leadership, the replica shows a partition without a leader.
  */
 class LeadershipRequester(
     private val leadership: PartitionLeadership,
@@ -27,7 +27,10 @@
     }
 
     private companion object {
-        /** The shortest time between two requests, and the random time on top: peers that restart together spread out. */
+        /**
+         * The minimum time between two requests, and the upper bound of the random time that is added to it, so that
+         * controllers that restart together do not send their requests together.
+         */
         const val PERIOD_MS = 6_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/LimitShares.kt
+++ b/src/main/kotlin/io/otterknot/controller/LimitShares.kt
@@ -3,33 +3,38 @@
 import io.otterknot.ratelimit.RateLimitShare
 
 /**
- * This controller's shares of the request limits of the key-value store and the cloud. Part of each limit is divided
- * evenly among all controllers, the rest by the partitions that each leads, since leaders have the work. One controller
- * at a time may act for a partition, so the shares of all never exceed the limit together.
+ * This controller's shares of the rate limits of the key-value store and the cloud. Part of each limit is divided
+ * evenly among all controllers, the rest in proportion to the partitions that each leads, since leaders do the work of
+ * their partitions. Only one controller at a time may act for a partition, so the shares together never exceed the
+ * limit.
  */
 class LimitShares(
     private val controllerCount: Int,
-    /** Of all partitions, the share that this controller may act for now: 0.0 to 1.0. */
+    /** Returns the share of all partitions that this controller may act for now, from 0.0 to 1.0. */
     private val ledPartitionShare: () -> Double,
 ) {
-    fun ofStore() = RateLimitShare(share(EVEN_STORE_REQUESTS), share(EVEN_STORE_CHANGES))
+    fun ofStore() = RateLimitShare(share(EVEN_PART_OF_STORE_REQUESTS), share(EVEN_PART_OF_STORE_CHANGES))
 
-    /** The cloud limits calls alone: its limit of changes is a formality. */
-    fun ofCloud() = RateLimitShare(share(EVEN_CLOUD_CALLS), 1.0)
+    /** The cloud limits only the rate of calls, so the share of changes is not restricted. */
+    fun ofCloud() = RateLimitShare(share(EVEN_PART_OF_CLOUD_CALLS), 1.0)
 
-    private fun share(even: Double): Double = USED * (even / controllerCount + (1 - even) * ledPartitionShare())
+    private fun share(evenPart: Double): Double =
+        USED_SHARE * (evenPart / controllerCount + (1 - evenPart) * ledPartitionShare())
 
     private companion object {
-        /** What all controllers together use of a limit; the rest allows for clocks that differ. */
-        const val USED = 0.92
+        /** The share of a limit that all controllers together use; the rest allows for clock differences. */
+        const val USED_SHARE = 0.92
 
-        /** Most requests to the store serve users, who come to every controller alike: watches, reads, submissions. */
-        const val EVEN_STORE_REQUESTS = 0.7
+        /** Most store requests (watches, reads, submissions) serve users, who are spread over all controllers. */
+        const val EVEN_PART_OF_STORE_REQUESTS = 0.7
 
-        /** Submissions and cancellations come to every controller; completions and machines are written by leaders. */
-        const val EVEN_STORE_CHANGES = 0.7
+        /** Every controller writes submissions and cancellations; only leaders write completions and machines. */
+        const val EVEN_PART_OF_STORE_CHANGES = 0.7
 
-        /** Only leaders scale out and in; the even part lists machine types and serves leaders of a moment ago. */
-        const val EVEN_CLOUD_CALLS = 0.25
+        /**
+         * Only leaders scale out and in; the evenly divided part covers listing the machine types, and the calls of
+         * controllers that have just lost their partitions.
+         */
+        const val EVEN_PART_OF_CLOUD_CALLS = 0.25
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/MachineSegmentWrites.kt
+++ b/src/main/kotlin/io/otterknot/controller/MachineSegmentWrites.kt
@@ -10,7 +10,7 @@
 import io.otterknot.store.WriteLimits
 import kotlinx.serialization.json.JsonElement
 
-/** Registers machines before their first task, and removes those that the cloud has taken back. Owns no state. */
+/** Registers machines before their first task, and removes those that the cloud has released. Owns no state. */
 class MachineSegmentWrites(private val replica: StoreReplica, private val limits: WriteLimits) : PartitionWriteSource {
     override fun writes(partition: Partition): List<PendingWrite> {
         val added = partition.fleet.unregistered().associate { it.id to it.type.name }
@@ -18,25 +18,26 @@
         val stored = replica.machineSegments(partition.zone)
         val segmentSize = limits.maxRecordBytes / BYTES_PER_MACHINE
         val changed = RecordSegments.redistribute(stored, partition.fleet.released, added, segmentSize)
-        val earlierKeys = LinkedHashSet<String>()
+        val precedingKeys = LinkedHashSet<String>()
         return changed.map { (segment, types) ->
             val key = StoreKeys.machineSegment(partition.zone, segment)
-            // A machine must be in some segment at any time: what loses one is written after what takes it.
-            val moved = stored[segment].orEmpty().keys - types.keys - partition.fleet.released
-            val after = if (moved.isEmpty()) emptySet() else earlierKeys.toSet()
-            earlierKeys.add(key)
-            PendingWrite(key, valueOf(types), after)
+            // A machine must be in some segment at any time: a segment that a machine is moved out of is written after
+            // the segments before it, which include the one that the machine is moved to.
+            val movedOut = stored[segment].orEmpty().keys - types.keys - partition.fleet.released
+            val dependsOn = if (movedOut.isEmpty()) emptySet() else precedingKeys.toSet()
+            precedingKeys.add(key)
+            PendingWrite(key, valueOf(types), dependsOn)
         }
     }
 
-    /** Null, for a key that is removed, once no machine is left in the segment. */
+    /** Returns the value of a segment, or null if no machine is left in it, so that its key is removed. */
     private fun valueOf(types: Map<String, String>): JsonElement? {
         if (types.isEmpty()) return null
         return encodeRecord(MachineSegmentRecord.serializer(), MachineSegmentRecord(types))
     }
 
     private companion object {
-        /** What one machine takes in a segment: its name and that of its type. */
+        /** The space that one machine takes in a segment: its name and the name of its type. */
         const val BYTES_PER_MACHINE = 40
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
+++ b/src/main/kotlin/io/otterknot/controller/MachineTypeRecorder.kt
@@ -11,13 +11,13 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import org.slf4j.LoggerFactory
 
-/** Keeps the record of what the cloud offers, for controllers that start while the cloud is unavailable. */
+/** Records the machine types that the cloud offers, for controllers that start while the cloud is unavailable. */
 class MachineTypeRecorder(private val store: StoreAccess, private val catalog: MachineTypeCatalog) {
     private val log = LoggerFactory.getLogger(MachineTypeRecorder::class.java)
 
-    /** Asks the cloud for its machine types and records changes, until cancelled. */
+    /** Requests the machine types from the cloud periodically and records changes, until cancelled. */
     suspend fun run() {
-        // Recorded types will do for the first seconds of a start, when there is most to do.
+        // The first seconds after a start are the busiest; recorded types are sufficient for that time.
         withTimeoutOrNull(LOAD_TIMEOUT_MS) { store.replica.awaitLoaded() }
         if (catalog.types != null) delay(FIRST_REFRESH_DELAY_MS)
         catalog.refreshContinuously(::record)
@@ -31,19 +31,20 @@
         val change = CompareAndSwap.put(stored, encodeRecord(MachineTypes.serializer(), MachineTypes(offered)))
         if (!store.limits.fits(change)) return
         store.client.rateLimiter.acquire(1)
-        // One of the controllers that try succeeds; whatever else happens, the cloud's next answer leads here again.
+        // Of the controllers that try at the same time, one succeeds. After any other outcome, the next answer of the
+        // cloud triggers another attempt.
         val outcome = store.client.transact(change)
-        log.debug("machine types written outcome={}", outcome)
+        log.debug("outcome={} machine types write completed", outcome)
     }
 
-    /** Prices alone are no reason to write. */
+    /** Returns [types] with all prices zero: a change of prices alone is not written. */
     private fun withoutPrices(types: List<MachineType>) = types.map { it.copy(price = 0.0, spotPrice = 0.0) }
 
     private companion object {
-        /** How long to wait for recorded types before the cloud is asked all the same. */
+        /** How long to wait for recorded types before the cloud is queried without them. */
         const val LOAD_TIMEOUT_MS = 4_000L
 
-        /** How long recorded types are used before the cloud is asked for the first time. */
+        /** How long recorded types are used before the cloud is queried for the first time. */
         const val FIRST_REFRESH_DELAY_MS = 10_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/PartitionActivator.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionActivator.kt
@@ -8,10 +8,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Brings acquired partitions into service: one is activated once the replica holds everything that was written before
- * its acquisition. Until then its leader answers heartbeats with the fencing token and no commands.
+ * Brings acquired partitions into service. A partition is activated once the replica contains everything that was
+ * written before its acquisition. Until then its leader answers heartbeats with the fencing token and no commands.
  *
- * Owns the queue of acquired partitions; of the partitions in service, [partitions], it alone adds and removes.
+ * Owns the queue of acquired partitions, and is the only writer of [partitions], the partitions in service.
  */
 class PartitionActivator(
     private val partitions: MutableMap<String, Partition>,
@@ -24,7 +24,7 @@
     private val log = LoggerFactory.getLogger(PartitionActivator::class.java)
     private val queue = ArrayList<LeadershipAcquisition>()
 
-    /** The leadership of a partition has been acquired. */
+    /** Queues a partition whose leadership has been acquired for activation. */
     fun enqueue(acquired: LeadershipAcquisition) {
         queue += acquired
     }
@@ -34,7 +34,7 @@
         partitions.remove(zone)
     }
 
-    /** Activates all that the replica has caught up with; cheap while nothing is queued. */
+    /** Activates the queued partitions whose acquisition the replica has caught up with; cheap if none is queued. */
     fun activateAcquired() {
         val due = queue.filter { replica.revision >= it.fencingToken }
         queue.removeAll(due)
@@ -43,8 +43,8 @@
 
     private fun activate(acquired: LeadershipAcquisition) {
         val zone = acquired.zone
-        val isLostMeanwhile = leadership.acquiredToken(zone) != acquired.fencingToken
-        if (isLostMeanwhile) return
+        val hasLostLeadership = leadership.acquiredToken(zone) != acquired.fencingToken
+        if (hasLostLeadership) return
         val registeredMachines = machines.typesByMachine(zone)
         val priorLeaderUntilMs = leadership.takeoverMarkers.priorLeaderUntilMs(zone, acquired.isForcedTakeover)
         val partition = factory.create(acquired, priorLeaderUntilMs, registeredMachines)
--- a/src/main/kotlin/io/otterknot/controller/PartitionFactory.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionFactory.kt
@@ -25,8 +25,8 @@
     private val wallMs: () -> Long,
 ) {
     /**
-     * [priorLeaderUntilMs]: until when, by the steady clock, an earlier leader may still act; [registeredMachines]: by
-     * name, the types of the machines that may hold tasks.
+     * Creates the partition of the leadership [acquired]. An earlier leader may still act until [priorLeaderUntilMs],
+     * by the steady clock. [registeredMachines] gives the types of the machines that may hold tasks, by machine name.
      */
     fun create(
         acquired: LeadershipAcquisition,
@@ -35,14 +35,14 @@
     ): Partition = Partition(
         term = LeadershipTerm(acquired.zone, acquired.fencingToken, acquiredMs = nowMs(), priorLeaderUntilMs),
         leases = LeaseTimings(settings.workers.leaseMs),
-        scheduling = SchedulingInputs(objectives, random, wallTimeOf = { steadyMs -> steadyMs + wallAheadMs() }),
+        scheduling = SchedulingInputs(objectives, random, wallTimeOf = { steadyMs -> steadyMs + wallClockOffsetMs() }),
         machineTypes = catalog::type,
         teamQuotas = settings.teams.map { teamQuota(it, acquired.zone) },
         registeredMachines = registeredMachines,
     )
 
-    /** How far the time of day is ahead of the steady clock, by now: the time of day may be set. */
-    private fun wallAheadMs(): Long = wallMs() - nowMs()
+    /** Returns how far the wall clock is ahead of the steady clock; read on each call, as the wall clock may be set. */
+    private fun wallClockOffsetMs(): Long = wallMs() - nowMs()
 
     private fun teamQuota(team: TeamSettings, zone: String) = TeamQuota(
         team.name,
@@ -51,7 +51,7 @@
     )
 
     private companion object {
-        /** The weight in fair shares, in guaranteed cores, of a team that has no guaranteed quota. */
+        /** The fair-share weight, in guaranteed cores, of a team without guaranteed quota. */
         const val WEIGHT_WITHOUT_GUARANTEE = 1.0
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/PartitionLoadPublisher.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionLoadPublisher.kt
@@ -12,28 +12,29 @@
 import kotlin.math.abs
 
 /**
- * Publishes the load of a partition, by which all controllers place jobs: once it has changed by a tenth, and at most
- * every two seconds, since each write is a change that every watch brings. Owns the times of publication by zone.
+ * Publishes the load of a partition, by which all controllers assign jobs to partitions. The load is written when it
+ * has changed by a tenth, and at most every two seconds, since each write is delivered to the watch of every
+ * controller. Owns the time of the last publication of each zone.
  */
 class PartitionLoadPublisher(
     private val replica: StoreReplica,
-    /** Teams with a quota limit, whose needs are published too. */
+    /** The teams with a quota limit, whose quota needs are published too. */
     private val limitedTeams: List<String>,
     private val nowMs: () -> Long,
-    /** What load spread publishes with the load; null while it is off. */
+    /** Returns the pressure that load spread publishes with the load, or null while load spread is off. */
     private val pressureOf: (Partition) -> PressureRecord? = { null },
 ) : PartitionWriteSource {
-    private val publishedMs = HashMap<String, Long>()
+    private val lastPublishedMsByZone = HashMap<String, Long>()
 
     override fun writes(partition: Partition): List<PendingWrite> {
         val now = nowMs()
-        val lastMs = publishedMs[partition.zone]
+        val lastMs = lastPublishedMsByZone[partition.zone]
         if (lastMs != null && now - lastMs < MIN_INTERVAL_MS) return emptyList()
         val key = StoreKeys.partitionLoad(partition.zone)
         val current = currentLoad(partition)
         val published = replica[key]?.let { decodeRecord(PartitionLoadRecord.serializer(), it.value) }
         if (published != null && isClose(published, current)) return emptyList()
-        publishedMs[partition.zone] = now
+        lastPublishedMsByZone[partition.zone] = now
         return listOf(PendingWrite(key, encodeRecord(PartitionLoadRecord.serializer(), current)))
     }
 
@@ -57,7 +58,7 @@
             published.quotaNeeds == current.quotaNeeds &&
             isPressureClose(published.pressure, current.pressure, current.cores)
 
-    /** Like the mean: whether no team has changed by a tenth of the partition. */
+    /** Whether the cores of no team have changed by a tenth of the partition's cores or more. */
     private fun isPressureClose(published: PressureRecord?, current: PressureRecord?, cores: Double): Boolean {
         if (published == null || current == null) return published == current
         val minChangeCores = MIN_CHANGE * maxOf(cores, 1.0)
@@ -69,14 +70,14 @@
         }
     }
 
-    private fun round(value: Double) = Math.round(value * ROUNDING) / ROUNDING.toDouble()
+    private fun round(value: Double) = Math.round(value * ROUNDING_FACTOR) / ROUNDING_FACTOR.toDouble()
 
     private companion object {
-        /** The smallest change of a mean load that is published; of a team's cores, as a share of the partition. */
+        /** The smallest published change of a mean load; for a team's cores, as a share of the partition's cores. */
         const val MIN_CHANGE = 0.1
         const val MIN_INTERVAL_MS = 2_000L
 
-        /** Means are published with three decimals: more would only make the record longer. */
-        const val ROUNDING = 1000
+        /** Mean loads are published with three decimals, to keep the record short. */
+        const val ROUNDING_FACTOR = 1000
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/PartitionStateWriter.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionStateWriter.kt
@@ -7,14 +7,15 @@
 import kotlinx.coroutines.delay
 
 /**
- * Makes durable what the led partitions learn, in one coroutine: no two batches are under way at once. Owns no state.
+ * Writes the state of the led partitions to the store, in one coroutine, so that only one batch is in flight at a time.
+ * Owns no state.
  */
 class PartitionStateWriter(
     private val replica: StoreReplica,
     private val partitions: Map<String, Partition>,
     private val leadership: PartitionLeadership,
     private val batchWriter: BatchWriter,
-    /** The most urgent first: one batch may not take all that they want to write. */
+    /** The sources of writes, most urgent first: one batch may not be large enough for all writes. */
     private val sources: List<PartitionWriteSource>,
     private val jobFinalizer: JobFinalizer,
 ) {
@@ -36,7 +37,7 @@
     }
 
     private companion object {
-        /** The pause between two rounds: completions that come close together are written together. */
+        /** The pause between two rounds, so that completions reported within a short time are written together. */
         const val PERIOD_MS = 200L
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/PartitionSweeper.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionSweeper.kt
@@ -15,13 +15,13 @@
     suspend fun run() {
         var stalledUntilMs = Long.MIN_VALUE
         while (true) {
-            val sleptAtMs = nowMs()
+            val sleepStartMs = nowMs()
             delay(PERIOD_MS)
             val now = nowMs()
-            val lateMs = now - sleptAtMs - PERIOD_MS
+            val lateMs = now - sleepStartMs - PERIOD_MS
             metrics.recordDuration("sweep late", lateMs)
             metrics.logPeriodically()
-            if (lateMs > STALL_MS) stalledUntilMs = now + STALL_RECOVERY_MS
+            if (lateMs > STALL_THRESHOLD_MS) stalledUntilMs = now + STALL_RECOVERY_MS
             activator.activateAcquired()
             partitions.values.forEach { it.sweep(now, isLeaderSlow = now < stalledUntilMs) }
         }
@@ -30,10 +30,10 @@
     private companion object {
         const val PERIOD_MS = 500L
 
-        /** A sweep that is later than this shows that the process got no turn, and its responses came late. */
-        const val STALL_MS = 1_500L
+        /** A sweep that is later than this shows that the process was stalled, so its responses were late too. */
+        const val STALL_THRESHOLD_MS = 1_500L
 
-        /** How long after a stall no machine is blamed for lost responses: this process answered too late. */
+        /** How long after a stall lost responses do not count against machines: this process answered too late. */
         const val STALL_RECOVERY_MS = 5_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/PeerRequestHandler.kt
+++ b/src/main/kotlin/io/otterknot/controller/PeerRequestHandler.kt
@@ -8,7 +8,7 @@
 import io.otterknot.peer.PeerMessage
 import io.otterknot.store.StoreHealth
 
-/** Answers the requests of other controllers. Owns no state; runs on the thread of the event loop like everything. */
+/** Answers the requests of other controllers. Owns no state; runs on the controller's event loop. */
 class PeerRequestHandler(
     private val leadership: PartitionLeadership,
     private val partitions: Map<String, Partition>,
@@ -30,19 +30,23 @@
         is PeerMessage.IdleAnnouncementWithdrawn,
         -> idlePartitions.respondTo(request, nowMs())
 
-        // No requests of this version: they change nothing, and are answered so that the connection stays open.
+        // Not requests in this version: they change nothing, and are answered only so that the connection stays open.
         is PeerMessage.IdlePartitionCount,
         is PeerMessage.RelayResponse,
         is PeerMessage.Unknown,
         -> idlePartitions.respondTo(request, nowMs())
     }
 
+    /** Transfers the leadership of the requested partition to the peer, if the state of the partition allows it now. */
     private suspend fun transferLeadership(request: PeerMessage.TransferLeadership) {
         val mayTransfer = partitions[request.zone]?.mayTransferLeadership(nowMs()) == true
         if (mayTransfer) leadership.transferLeadership(request.zone, request.ledPartitions)
     }
 
-    /** Asks the store for a peer, which has already taken the request out of its own rate limit. */
+    /**
+     * Sends a request to the store on behalf of a peer. It is not counted in this controller's rate limit, since the
+     * peer has counted it in its own.
+     */
     private suspend fun relayToStore(request: PeerMessage.RelayRequest): PeerMessage {
         if (!storeHealth.isAnswering) return PeerMessage.RelayResponse.UNANSWERED
         val reply = store.call(request.method, request.target, request.body, request.timeoutMs.toLong())
--- a/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
+++ b/src/main/kotlin/io/otterknot/controller/ReplicaChangeDispatcher.kt
@@ -14,8 +14,8 @@
 import io.otterknot.wire.MachineTypes
 
 /**
- * Passes each change of the replica on to the owners of the state that depends on it, in the order of the changes. Owns
- * no state; the replica's only listener.
+ * Dispatches each change of the replica to the owners of the state that depends on it, in the order of the changes. It
+ * is the replica's only change listener. Owns no state.
  */
 class ReplicaChangeDispatcher(
     private val jobs: JobTable,
@@ -26,7 +26,7 @@
     private val quotaShares: QuotaShares,
     private val views: Map<String, PartitionView>,
 ) {
-    /** [entry] is null for a removed key. */
+    /** Applies a change of [key]; [entry] is its new value, or null if the key was removed. */
     fun applyChange(key: String, entry: ReplicaEntry?) {
         when {
             key.startsWith(StoreKeys.JOBS) -> updateJobs(jobs.applyJobChange(key, entry))
@@ -53,7 +53,7 @@
         }
     }
 
-    /** [segment] is the zone and the number of a segment of its machines, with a slash between. */
+    /** Applies a change of a machine segment; [segment] is its zone and number, separated by a slash. */
     private fun updateMachines(segment: String) {
         val zone = segment.substringBefore('/')
         machines.invalidate(zone)
@@ -77,7 +77,7 @@
     }
 
     private companion object {
-        /** What a partition counts as whose leader has published nothing. */
+        /** The load assumed for a partition whose leader has published none. */
         val NO_LOAD = PartitionLoadRecord(0.0)
     }
 }
--- a/src/main/kotlin/io/otterknot/controller/RequestRouter.kt
+++ b/src/main/kotlin/io/otterknot/controller/RequestRouter.kt
@@ -5,32 +5,37 @@
 import io.otterknot.http.HttpRequest
 import io.otterknot.http.HttpResponse
 
-/** Passes a request of a user, a worker or the load balancer to the endpoint that answers it, by path and method. */
+/** Routes requests of users, workers and the load balancer to the endpoint that answers them, by path and method. */
 class RequestRouter(private val jobApi: JobApi, private val heartbeats: HeartbeatEndpoint) {
     suspend fun route(request: HttpRequest): HttpResponse {
         val path = request.path
         return when {
-            path == HEARTBEAT_PATH -> allow(request, "POST") { heartbeats.receive(request.body) }
-            path == READINESS_PATH -> allow(request, "GET") { jobApi.readiness() }
-            path == JOBS_PATH -> allow(request, "POST") { jobApi.submit(request.body) }
+            path == HEARTBEAT_PATH -> requireMethod(request, "POST") { heartbeats.receive(request.body) }
+            path == READINESS_PATH -> requireMethod(request, "GET") { jobApi.readiness() }
+            path == JOBS_PATH -> requireMethod(request, "POST") { jobApi.submit(request.body) }
             path.startsWith(JOB_PREFIX) -> routeJob(request, path.removePrefix(JOB_PREFIX))
             else -> unknownPath()
         }
     }
 
-    /** [subPath] is what follows [JOB_PREFIX]. */
+    /** Routes a request about one job; [subPath] is the part of the path after [JOB_PREFIX]. */
     private suspend fun routeJob(request: HttpRequest, subPath: String): HttpResponse {
         val isCancellation = subPath.endsWith(CANCELLATION_SUFFIX) && subPath.length > CANCELLATION_SUFFIX.length
         if (isCancellation) {
-            return allow(request, "POST") { jobApi.cancel(subPath.removeSuffix(CANCELLATION_SUFFIX)) }
+            return requireMethod(request, "POST") { jobApi.cancel(subPath.removeSuffix(CANCELLATION_SUFFIX)) }
         }
         if ('/' in subPath) return unknownPath()
-        return allow(request, "GET") { jobApi.poll(subPath) }
+        return requireMethod(request, "GET") { jobApi.poll(subPath) }
     }
 
     private fun unknownPath() = HttpResponse.refusal(404, "no such path")
 
-    private suspend fun allow(request: HttpRequest, method: String, serve: suspend () -> HttpResponse): HttpResponse {
+    /** Calls [serve] if the request has the given [method], and refuses the request otherwise. */
+    private suspend fun requireMethod(
+        request: HttpRequest,
+        method: String,
+        serve: suspend () -> HttpResponse,
+    ): HttpResponse {
         if (request.method == method) return serve()
         return HttpResponse.refusal(405, "only $method", allow = method)
     }
--- a/src/main/kotlin/io/otterknot/controller/StoreAccess.kt
+++ b/src/main/kotlin/io/otterknot/controller/StoreAccess.kt
@@ -5,7 +5,7 @@
 import io.otterknot.store.WriteLimits
 
 /**
- * What it takes to read and change stored records. Its parts are the owners of their state: the rate limiter is that of
- * [client], and [limits] are lowered by whoever is refused for a record's size.
+ * The components needed to read and change stored records. Owns no state itself: the rate limiter belongs to [client],
+ * and any component whose write is refused for its size lowers the shared [limits].
  */
 class StoreAccess(val client: KeyValueStoreClient, val replica: StoreReplica, val limits: WriteLimits)
--- a/src/main/kotlin/io/otterknot/controller/StoreStack.kt
+++ b/src/main/kotlin/io/otterknot/controller/StoreStack.kt
@@ -13,7 +13,7 @@
 import io.otterknot.store.WriteLimits
 import kotlin.random.Random
 
-/** The key-value store as one controller reaches it, from the connections up to the replica. */
+/** The layers through which a controller uses the key-value store, from the connections up to the replica. */
 internal class StoreStack(
     settings: StoreSettings,
     controllerCount: Int,
@@ -37,21 +37,24 @@
         KeyValueStoreClient(connection, StoreConnection(transports.watch, health, relays), rateLimiter, metrics)
     val replica = StoreReplica(client, random, nowMs, watchPauseMs(settings, controllerCount))
 
-    /** Nothing larger is written, neither now nor once the announced lower limits hold. */
+    /** Starts with the lower limits that the settings announce, so that records still fit once these take effect. */
     val limits = WriteLimits((settings.leastValueKb * BYTES_PER_KIB).toInt(), settings.leastTxnOps)
     val access = StoreAccess(client, replica, limits)
 
     private companion object {
         const val BYTES_PER_KIB = 1024
 
-        /** Between two watches, an even share of the limit allows for this many requests, in thousandths. */
+        /**
+         * The watch pause is the time in which an even share of the request limit allows 3.5 requests. In thousandths
+         * of a request: divided by requests per second, it gives milliseconds.
+         */
         const val MILLI_REQUESTS_PER_WATCH = 3_500.0
 
-        /** Longer pauses would delay what users wait for; shorter ones fetch hardly fewer changes at a time. */
+        /** Longer pauses would delay users; shorter ones hardly reduce the number of changes that a watch returns. */
         const val MIN_WATCH_PAUSE_MS = 120L
         const val MAX_WATCH_PAUSE_MS = 250L
 
-        /** Each watch counts as a request, so it is reopened less often where the limit is low. */
+        /** Returns the pause between two watches. Each watch counts as a request, so a low limit needs a long pause. */
         fun watchPauseMs(settings: StoreSettings, controllerCount: Int): Long =
             (MILLI_REQUESTS_PER_WATCH * controllerCount / settings.rps).toLong()
                 .coerceIn(MIN_WATCH_PAUSE_MS, MAX_WATCH_PAUSE_MS)
--- a/src/main/kotlin/io/otterknot/controller/TakeoverMarkerRemoval.kt
+++ b/src/main/kotlin/io/otterknot/controller/TakeoverMarkerRemoval.kt
@@ -5,7 +5,7 @@
 import io.otterknot.store.PendingWrite
 import io.otterknot.store.StoreReplica
 
-/** Removes the marker of a forced takeover once the earlier leader surely acts no more. Owns no state. */
+/** Removes the marker of a forced takeover once the prior leader can no longer act. Owns no state. */
 class TakeoverMarkerRemoval(private val replica: StoreReplica, private val nowMs: () -> Long) : PartitionWriteSource {
     override fun writes(partition: Partition): List<PendingWrite> {
         val key = StoreKeys.takeoverMarker(partition.zone)
--- a/src/main/kotlin/io/otterknot/controller/WorkerTimings.kt
+++ b/src/main/kotlin/io/otterknot/controller/WorkerTimings.kt
@@ -4,7 +4,7 @@
 
 private const val MS_PER_S = 1000
 
-/** The longest that a machine's lease lasts without a heartbeat that was answered, in milliseconds. */
+/** The maximum time that a machine's lease lasts without an answered heartbeat, in milliseconds. */
 internal val WorkerSettings.leaseMs: Long get() = (leaseS * MS_PER_S).toLong()
 
 /** The time between two heartbeats of a machine, in milliseconds. */
--- a/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
+++ b/src/test/kotlin/io/otterknot/controller/JobFinalizerTest.kt
@@ -23,11 +23,14 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** Many jobs end at once, and their final states are written batch by batch. */
+/** Writing the terminal states of jobs in batches. */
 class JobFinalizerTest {
     private val ids = (1..6).map { "j-%06d".format(it) }
 
-    /** A drawn day of wisniewski-hunt: users were told that jobs were cancelled, and ever after that they were done. */
+    /**
+     * Guards against writing a terminal state that was decided before earlier batches were written. A job that was
+     * cancelled in between was reported to users first as cancelled and from then on as done.
+     */
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `a job cancelled while earlier batches are written stays cancelled`() = runTest {
@@ -41,24 +44,24 @@
         launch { leadership.acquirePartitions() }
         while (leadership.actingToken("a") == null) delay(50)
         val completions = CompletionSegmentRecord(ids.associateWith { "AQ" })
-        val done =
+        val completionChange =
             KeyChange(
                 put = StoreKeys.completionSegment("a", "1-0"),
                 value = encodeRecord(CompletionSegmentRecord.serializer(), completions),
             )
-        val accepted = ids.map { jobChange(it, JobRecord(smallJob(it), listOf(TaskSpan("a", 0, 1)))) }
-        fixture.state.store(*accepted.toTypedArray(), done)
+        val acceptedJobs = ids.map { jobChange(it, JobRecord(smallJob(it), listOf(TaskSpan("a", 0, 1)))) }
+        fixture.state.store(*acceptedJobs.toTypedArray(), completionChange)
         delay(500)
         val finalizer = JobFinalizer(StoreAccess(client, replica, WriteLimits(8_192, 1)), jobs, leadership, fixture.now)
         val finishing = launch { finalizer.finishAll() }
-        // One change at a time, and two of them a second: the last one's turn comes later.
+        // With one change per transaction and two changes per second, the last job has not been written yet.
         delay(700)
         fixture.state.store(jobChange(ids.last(), JobRecord(terminalState = TerminalState.CANCELLED, taskCount = 1)))
         finishing.join()
-        val finals = ids.map {
+        val terminalStates = ids.map {
             decodeRecord(JobRecord.serializer(), fixture.state.value(StoreKeys.job(it))!!).terminalState
         }
-        assertEquals(List(5) { TerminalState.DONE } + TerminalState.CANCELLED, finals)
+        assertEquals(List(5) { TerminalState.DONE } + TerminalState.CANCELLED, terminalStates)
         currentCoroutineContext().cancelChildren()
     }
 }
