--- a/src/main/kotlin/io/otterknot/leadership/AcquisitionPolicy.kt
+++ b/src/main/kotlin/io/otterknot/leadership/AcquisitionPolicy.kt
@@ -4,34 +4,36 @@
 internal enum class AcquisitionDecision {
     WAIT,
 
-    /** Nobody leads the partition, or only an earlier process of this controller's label, which is dead. */
+    /** The partition has no leader, or its record was left by a process with this controller's label that has ended. */
     ACQUIRE,
 
-    /** Acquire it although another controller leads it, which does not answer its workers. */
+    /** Another controller leads the partition but does not answer its workers. */
     FORCE_TAKEOVER,
 }
 
 /**
- * Decides whose turn it is to acquire a partition. Does no I/O and reads no clock. Nothing that keeps the partitions
- * safe rests on it: the transaction of an acquisition is guarded by the version of the leader record, and a leader that
- * is taken over stops by its own fence.
+ * Decides whether it is this controller's turn to acquire a partition. Does no I/O and reads no clock. Safety does not
+ * depend on the decisions: the transaction of an acquisition is conditional on the version of the leader record, and a
+ * leader whose partition is taken over stops acting when its own fence expires.
  */
 internal class AcquisitionPolicy(
     private val settings: LeadershipSettings,
     private val failureDetector: LeaderFailureDetector,
 ) {
-    /** Since when the replica has shown no leader, by zone. */
+    /** Since when the replica has shown no leader of a zone, by zone. */
     private val leaderlessSinceMs = HashMap<String, Long>()
 
-    /** When this controller last asked the leader of a zone to transfer it. */
+    /** When this controller last requested the transfer of a zone from its leader, by zone. */
     private val lastTransferRequestMs = HashMap<String, Long>()
 
-    /** When this controller last transferred a zone to the one that had asked for it. */
+    /** When this controller last transferred a zone to the controller that had requested it, by zone. */
     private val lastTransferMs = HashMap<String, Long>()
 
     /**
-     * @param leader the label in the partition's leader record; null if nobody leads it
-     * @param ledPartitionCount how many partitions this controller leads; the fewer, the sooner it acquires another
+     * Returns what this controller does now about the partition of [zone].
+     *
+     * @param leader the label in the partition's leader record, or null if the partition has no leader
+     * @param ledPartitionCount how many partitions this controller leads; each one delays the acquisition of another
      */
     fun decide(zone: String, leader: String?, ledPartitionCount: Int, nowMs: Long): AcquisitionDecision {
         if (leader == null) {
@@ -43,7 +45,8 @@
         }
         leaderlessSinceMs.remove(zone)
         return when {
-            // This process did not put the record, so its predecessor did: only one process of a label is started.
+            // No process acts under this record. An earlier process with this label wrote it (only one runs at a time),
+            // or this process did and does not lead the partition under it.
             leader == settings.label -> AcquisitionDecision.ACQUIRE
 
             failureDetector.isLeaderFailed(zone, ledPartitionCount, nowMs) -> AcquisitionDecision.FORCE_TAKEOVER
@@ -56,12 +59,15 @@
         leaderlessSinceMs.remove(zone)
     }
 
-    /** Its leader is asked to transfer [zone]; should it do so, this controller need not wait for those before it. */
+    /**
+     * Records that this controller requested [zone] from its leader. Once the leader has transferred it, this
+     * controller acquires it without waiting for the controllers that rank before it.
+     */
     fun transferRequested(zone: String, nowMs: Long) {
         lastTransferRequestMs[zone] = nowMs
     }
 
-    /** This controller has transferred [zone], and leaves it to the one that asked. */
+    /** Records that this controller transferred [zone], so that it leaves the partition to the requester. */
     fun transferred(zone: String, nowMs: Long) {
         lastTransferMs[zone] = nowMs
     }
@@ -74,11 +80,12 @@
         return nowMs - sinceMs >= rank * DELAY_PER_RANK_MS + loadDelayMs
     }
 
-    private fun isRecent(eventMs: Long?, nowMs: Long): Boolean = eventMs != null && nowMs - eventMs < TRANSFER_MS
+    private fun isRecent(eventMs: Long?, nowMs: Long): Boolean =
+        eventMs != null && nowMs - eventMs < TRANSFER_RESERVATION_MS
 
     private companion object {
-        /** For how long a partition that is being transferred is left to the controller that asked for it. */
-        const val TRANSFER_MS = 4_000L
+        /** How long a partition that is being transferred is reserved for the controller that requested it. */
+        const val TRANSFER_RESERVATION_MS = 4_000L
         const val DELAY_PER_RANK_MS = 3_000L
         const val DELAY_PER_LED_PARTITION_MS = 1_000L
     }
--- a/src/main/kotlin/io/otterknot/leadership/Fence.kt
+++ b/src/main/kotlin/io/otterknot/leadership/Fence.kt
@@ -1,23 +1,24 @@
 package io.otterknot.leadership
 
 /**
- * Until when this controller may act as a leader, by its own steady clock.
+ * The time until which this controller may act as a leader, by its own monotonic clock.
  *
- * Keeps "nobody else leads the partition before the fence ends" (`docs/design.md`, "One leader at a time"): the time is
- * counted from the moment at which a successful renewal was *sent*. The store cannot have started the lease's time to
- * live before that moment, so the fence ends before the lease does, whatever the drift of both clocks.
+ * Ensures that no other controller leads the partition before the fence expires (`docs/design.md`, "One leader at a
+ * time"): the time is counted from the moment at which a successful renewal was *sent*. The store cannot have started
+ * the lease's time to live before that moment, so the fence expires before the lease does, even if the two clocks run
+ * at slightly different rates.
  *
- * @property leaseTtlMs time to live of the store lease that the fence stands for
+ * @property leaseTtlMs time to live of the store lease that the fence is derived from
  */
 class Fence(val leaseTtlMs: Long) {
     private var validUntilMs = Long.MIN_VALUE
 
-    /** A renewal sent at [renewalSentMs] succeeded. An older renewal than the last one takes nothing back. */
+    /** Extends the fence after a renewal sent at [renewalSentMs] succeeded; never shortens it. */
     fun extend(renewalSentMs: Long) {
         validUntilMs = maxOf(validUntilMs, renewalSentMs + leaseTtlMs - leaseTtlMs / DRIFT_DIVISOR - MARGIN_MS)
     }
 
-    /** The lease is gone: nothing may be done on it from now on. */
+    /** Ends the fence immediately, because the store lease has expired. */
     fun revoke() {
         validUntilMs = Long.MIN_VALUE
     }
@@ -25,10 +26,10 @@
     fun isValid(nowMs: Long): Boolean = nowMs < validUntilMs
 
     private companion object {
-        /** One part in so many of the time to live, 0.2 %, is taken off for clocks that run at different speeds. */
+        /** 1/500 (0.2 %) of the time to live is subtracted to allow for clocks that run at different rates. */
         const val DRIFT_DIVISOR = 500
 
-        /** Taken off besides; the bound on cancelled tasks in `docs/design.md` counts on it. */
+        /** Subtracted in addition; the bound on cancelled tasks in `docs/design.md` depends on it. */
         const val MARGIN_MS = 500L
     }
 }
--- a/src/main/kotlin/io/otterknot/leadership/FencedTransactions.kt
+++ b/src/main/kotlin/io/otterknot/leadership/FencedTransactions.kt
@@ -11,19 +11,19 @@
 import kotlinx.coroutines.delay
 import kotlin.random.Random
 
-/** What has become of a change by a partition's leader; final in each case. */
+/** The outcome of a change by a partition's leader. Each outcome is final. */
 enum class Settlement {
-    /** Carried out, and the replica shows it. */
+    /** The change was applied, and the replica shows it. */
     APPLIED,
 
-    /** Not carried out and never will be, and the replica shows what the key holds instead. */
+    /** The change was not applied and cannot be applied later, and the replica shows what the key holds instead. */
     NOT_APPLIED,
 
-    /** The partition is not led here any more, so the next leader learns from the store what has become of it. */
+    /** This controller no longer leads the partition. The next leader reads from the store whether it was applied. */
     LEADERSHIP_LOST,
 }
 
-/** Transactions by a partition's leader whose outcome must be settled before the leader goes on. */
+/** Transactions by a partition's leader whose outcome must be known before the leader continues. */
 class FencedTransactions(
     private val client: KeyValueStoreClient,
     private val replica: StoreReplica,
@@ -33,13 +33,15 @@
     private val random: Random,
 ) {
     /**
-     * Sends [change], guarded by the leader record of [partition] besides, until it is applied or surely never will be,
-     * and waits until the replica shows which.
+     * Sends [change], with the leader record of [partition] as an additional condition, until it is applied or cannot
+     * be applied any more, and waits until the replica shows the outcome.
      *
-     * A missing answer is settled by the same transaction again: it applies, or the key has changed, by the first one
-     * carried out after all or by another; a late one is then ruled out ("Late transactions" in `docs/design.md`). One
-     * that is refused for its size is not carried out. If an earlier try of it had no answer, that one may still be, and
-     * nothing else rules it out: the partition is then acquired anew, under a fencing token that its guard does not know.
+     * After an attempt without an answer the same transaction is sent again. Either it is applied, or its condition
+     * fails because the key has changed, by the first attempt or by another transaction. In both cases a late attempt
+     * cannot be applied any more ("Late transactions" in `docs/design.md`). A transaction that is refused for its size
+     * is not applied. But if an earlier attempt had no answer, that attempt may still be applied, and nothing else
+     * rules it out: the partition is then acquired again, under a new fencing token on which the condition of that
+     * attempt fails.
      */
     suspend fun settle(partition: Partition, change: CompareAndSwap): Settlement {
         val attempts = Attempts(partition, change)
@@ -51,37 +53,37 @@
         return Settlement.LEADERSHIP_LOST
     }
 
-    /** Waits until the replica shows the outcome, for as long as the partition is led here. */
-    private suspend fun awaitShown(revision: Long, partition: Partition, settlement: Settlement): Settlement {
+    /** Waits until the replica has reached [revision], for as long as this controller leads [partition]. */
+    private suspend fun awaitReplica(revision: Long, partition: Partition, settlement: Settlement): Settlement {
         while (isLed(partition)) {
             if (replica.awaitRevision(revision, REPLICA_WAIT_MS)) return settlement
         }
         return Settlement.LEADERSHIP_LOST
     }
 
-    /** Whether [partition] is still served under the acquisition that it was made for. */
+    /** Whether this controller still leads [partition] under the acquisition that the object was created for. */
     private fun isLed(partition: Partition): Boolean = partitions[partition.zone] === partition
 
-    /** The attempts at one change: all of them the same transaction. */
+    /** The attempts at one change. All of them send the same transaction. */
     private inner class Attempts(private val partition: Partition, private val change: CompareAndSwap) {
         private val leaderCondition = VersionCondition(StoreKeys.partition(partition.zone), partition.fencingToken)
         private val guarded = change.withCondition(leaderCondition)
 
-        /** Whether an attempt had no answer, so that it may be carried out late. */
+        /** Whether an attempt had no answer, so that it may still be applied late. */
         private var hasUnanswered = false
 
-        /** Null: not settled yet. */
+        /** Makes one attempt. Returns the outcome, or null if another attempt is needed. */
         suspend fun next(): Settlement? {
             client.rateLimiter.acquireSpare(1, lowPriority = true)
             return when (val outcome = client.transact(guarded)) {
-                is TransactionOutcome.Applied -> awaitShown(outcome.revision, partition, Settlement.APPLIED)
+                is TransactionOutcome.Applied -> awaitReplica(outcome.revision, partition, Settlement.APPLIED)
 
                 is TransactionOutcome.Conflict -> {
                     if (leaderCondition.key in outcome.failedKeys) leadership.leadershipLost(partition.zone)
-                    awaitShown(outcome.revision, partition, Settlement.NOT_APPLIED)
+                    awaitReplica(outcome.revision, partition, Settlement.NOT_APPLIED)
                 }
 
-                is TransactionOutcome.Refused -> if (outcome.isTooLarge) refusedForSize() else null
+                is TransactionOutcome.Refused -> if (outcome.isTooLarge) handleSizeRefusal() else null
 
                 is TransactionOutcome.Unknown -> {
                     hasUnanswered = true
@@ -90,7 +92,7 @@
             }
         }
 
-        private fun refusedForSize(): Settlement? {
+        private fun handleSizeRefusal(): Settlement? {
             limits.reduceAfterRefusal(change.changes)
             if (!hasUnanswered) return Settlement.NOT_APPLIED
             leadership.leadershipLost(partition.zone)
--- a/src/main/kotlin/io/otterknot/leadership/LeadershipHost.kt
+++ b/src/main/kotlin/io/otterknot/leadership/LeadershipHost.kt
@@ -1,10 +1,10 @@
 package io.otterknot.leadership
 
-/** What leadership asks of the controller that it is a part of. */
+/** What [PartitionLeadership] needs from the controller that it is a part of. */
 interface LeadershipHost {
     /**
-     * Whether a partition could be served once it is acquired; without that its workers would be kept alive and given
-     * no commands. False until the machine types are known.
+     * Whether this controller could serve a partition after acquiring it; false until the machine types are known. If
+     * it acquired one before, it would keep the workers' leases alive without giving the workers commands.
      */
     val canServePartitions: Boolean
 
@@ -12,18 +12,18 @@
     fun registeredMachines(zone: String): Set<String>
 }
 
-/** Told when this controller becomes or ceases to be the leader of a partition. */
+/** Notified when this controller becomes or ceases to be the leader of a partition. */
 interface LeadershipListener {
     fun leadershipAcquired(acquisition: LeadershipAcquisition)
 
-    /** From this call on nothing may be done for the partition of [zone]. Called at most once for an acquisition. */
+    /** From this call on nothing may be done for the partition of [zone]. Called at most once per acquisition. */
     fun leadershipLost(zone: String)
 }
 
 /**
- * This controller has become the leader of a partition. It may serve it once the replica has reached [fencingToken],
- * which is the revision of the acquisition: everything that was stored before is then known.
+ * The acquisition of a partition by this controller. It may serve the partition once the replica has reached
+ * [fencingToken], which is the revision of the acquisition: the replica then holds everything that was stored before.
  *
- * @property isForcedTakeover whether the leader before may still act, until its own fence ends
+ * @property isForcedTakeover whether the previous leader may still act, until its own fence expires
  */
 class LeadershipAcquisition(val zone: String, val fencingToken: Long, val isForcedTakeover: Boolean)
--- a/src/main/kotlin/io/otterknot/leadership/LeadershipSettings.kt
+++ b/src/main/kotlin/io/otterknot/leadership/LeadershipSettings.kt
@@ -1,11 +1,11 @@
 package io.otterknot.leadership
 
 /**
- * What a controller knows of itself and its site from the settings.
+ * The settings of this controller and its site that leadership depends on.
  *
- * @property label this controller's name, as it stands in leader records
+ * @property label this controller's name, as written in leader records
  * @property zones all zones of the site; each is one partition
- * @property domains the zone that each controller of the site runs in, by label, this one included
+ * @property domains the zone that each controller of the site runs in, by label, including this one
  * @property storeLeaseTtlMs time to live of the store lease, see [storeLeaseTtlMs]
  */
 class LeadershipSettings(
@@ -15,8 +15,9 @@
     val storeLeaseTtlMs: Long,
 ) {
     /**
-     * This controller's place in the order in which controllers acquire the partition of [zone] when nobody leads it,
-     * 0 for the first: those of the zone come first, then the others, rotated so that zones differ in who is next.
+     * This controller's position in the order in which controllers acquire the partition of [zone] when it has no
+     * leader, starting at 0. Controllers in the zone come first, then the others, rotated so that zones differ in which
+     * controller is next.
      */
     fun acquisitionRank(zone: String): Int {
         val local = domains.filterValues { it == zone }.keys.sorted()
--- a/src/main/kotlin/io/otterknot/leadership/LeadershipTransfers.kt
+++ b/src/main/kotlin/io/otterknot/leadership/LeadershipTransfers.kt
@@ -9,7 +9,7 @@
 /** A request to [leader] to transfer the leadership of the partition of [zone]. */
 class TransferRequest(val zone: String, val leader: String)
 
-/** Evens out how many partitions controllers lead: one that leads none asks one that leads many for one of them. */
+/** Balances how many partitions controllers lead: one that leads none requests a partition from one that leads many. */
 internal class LeadershipTransfers(
     private val settings: LeadershipSettings,
     private val client: KeyValueStoreClient,
@@ -20,20 +20,21 @@
 ) {
     private val log = LoggerFactory.getLogger(LeadershipTransfers::class.java)
 
-    /** When a partition was last taken over from this controller although it could act; null if never. */
+    /** When a partition was last taken over from this controller while its fence was valid, or null if never. */
     private var lastForcedTakeoverMs: Long? = null
 
     /**
-     * A partition was taken over from this controller although it could act: its workers do not reach it, so it
-     * requests none for a while.
+     * Records that a partition was taken over from this controller while its fence was valid. Its workers do not reach
+     * it, so it requests no partition for a while.
      */
     fun forcedTakeoverObserved() {
         lastForcedTakeoverMs = nowMs()
     }
 
     /**
-     * Gives the partition of [zone] up for a controller that leads [requesterPartitionCount], if this one leads enough
-     * more. It stops acting before the record is removed, so before anybody can acquire the partition.
+     * Transfers the partition of [zone] to a controller that leads [requesterPartitionCount] partitions, if this one
+     * leads enough more. This controller stops acting before it removes the leader record, so before another controller
+     * can acquire the partition.
      */
     suspend fun transfer(zone: String, requesterPartitionCount: Int) {
         val fencingToken = ledPartitions.fencingToken(zone) ?: return
@@ -41,12 +42,13 @@
         log.info("partition={} fencing_token={} leadership transferred", zone, fencingToken)
         ledPartitions.resign(zone)
         client.rateLimiter.acquire(1)
-        // If this is lost, the record still shows this controller's label, and it acquires the partition again.
+        // If the transaction is not applied, the record still shows this controller's label, and this controller
+        // acquires the partition again.
         client.transact(CompareAndSwap.remove(Snapshot(StoreKeys.partition(zone), zone, fencingToken)))
         policy.transferred(zone, nowMs())
     }
 
-    /** The partition that this controller, which leads none, had rather than its busy leader; null if there is none. */
+    /** The transfer that this controller should request from a leader of many partitions, or null if it needs none. */
     fun nextRequest(): TransferRequest? {
         if (ledPartitions.size > 0 || wasRecentlyTakenOver()) return null
         val requests = settings.zones.mapNotNull { zone ->
@@ -65,7 +67,7 @@
         lastForcedTakeoverMs?.let { nowMs() - it < PAUSE_AFTER_FORCED_TAKEOVER_MS } ?: false
 
     private companion object {
-        /** How many more partitions than the other a leader must have: a transfer costs its tasks a second or two. */
+        /** How many more partitions than the requester a leader must have: a transfer delays its tasks by 1 to 2 s. */
         const val MIN_PARTITION_DIFFERENCE = 3
         const val PAUSE_AFTER_FORCED_TAKEOVER_MS = 45_000L
     }
--- a/src/main/kotlin/io/otterknot/leadership/LedPartitionTokens.kt
+++ b/src/main/kotlin/io/otterknot/leadership/LedPartitionTokens.kt
@@ -3,8 +3,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The partitions that this controller leads, each under the fencing token of its acquisition. The one place where a
- * token comes and goes, so the listener learns of each acquisition and each loss exactly once.
+ * The partitions that this controller leads, each with the fencing token of its acquisition. Tokens are added and
+ * removed only here, so the listener is notified of each acquisition and each loss exactly once.
  */
 internal class LedPartitionTokens(private val listener: LeadershipListener) {
     private val log = LoggerFactory.getLogger(LedPartitionTokens::class.java)
@@ -14,7 +14,7 @@
 
     operator fun contains(zone: String): Boolean = zone in fencingTokens
 
-    /** The fencing token under which the partition of [zone] is led; null if it is not. */
+    /** The fencing token under which this controller leads the partition of [zone], or null if it does not. */
     fun fencingToken(zone: String): Long? = fencingTokens[zone]
 
     /** A copy of the fencing tokens by zone, as they are now. */
@@ -26,7 +26,7 @@
         listener.leadershipAcquired(acquisition)
     }
 
-    /** Somebody else leads the partition of [zone], or may do so; without effect if it is not led here. */
+    /** Removes the partition of [zone], which another controller leads or may lead; no effect if it is not led here. */
     fun lost(zone: String) {
         val fencingToken = fencingTokens.remove(zone) ?: return
         log.warn("partition={} fencing_token={} leadership lost", zone, fencingToken)
@@ -35,7 +35,7 @@
 
     fun allLost() = fencingTokens.keys.toList().forEach(::lost)
 
-    /** Gives the partition of [zone] up of this controller's own accord. */
+    /** Resigns the leadership of the partition of [zone] voluntarily; no effect if it is not led here. */
     fun resign(zone: String) {
         if (fencingTokens.remove(zone) != null) listener.leadershipLost(zone)
     }
--- a/src/main/kotlin/io/otterknot/leadership/PartitionAcquirer.kt
+++ b/src/main/kotlin/io/otterknot/leadership/PartitionAcquirer.kt
@@ -12,12 +12,12 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Acquires partitions as [policy] decides, on the store lease and under this process's [record].
+ * Acquires partitions as [policy] decides, under the store lease and with this process's [record].
  *
- * An acquisition puts the leader record by a transaction that is guarded by the record's version (or absence) and
- * depends on the store lease; its revision is the fencing token. So of two controllers that see the same record only one
- * acquires the partition, and the fencing token rises with each change of leader (`docs/design.md`, "One leader at a
- * time").
+ * An acquisition writes the leader record in a transaction that is conditional on the record's version (or absence) and
+ * attaches the record to the store lease; the revision of the transaction is the fencing token. So of two controllers
+ * that see the same record only one acquires the partition, and the fencing token increases with each change of leader
+ * (`docs/design.md`, "One leader at a time").
  */
 internal class PartitionAcquirer(
     private val record: LeaderRecord,
@@ -31,35 +31,38 @@
     private val log = LoggerFactory.getLogger(PartitionAcquirer::class.java)
     private val leaderRecords = LeaderRecords(replica)
 
-    /** Acquires the partition of [zone] on the store lease [leaseId] if it is this controller's turn. */
-    suspend fun consider(zone: String, leaseId: Long) {
+    /**
+     * Acquires the partition of [zone] under the store lease [leaseId] if it is this controller's turn. If this
+     * controller leads the partition already, only checks that its acquisition has not been superseded.
+     */
+    suspend fun acquireIfDue(zone: String, leaseId: Long) {
         val fencingToken = ledPartitions.fencingToken(zone)
         if (fencingToken != null) {
             if (leaderRecords.isSuperseded(zone, fencingToken)) ledPartitions.lost(zone)
             return
         }
-        val before = leaderRecords.snapshot(zone)
-        val leader = before.value?.leader
+        val previous = leaderRecords.snapshot(zone)
+        val leader = previous.value?.leader
         when (policy.decide(zone, leader, ledPartitions.size, nowMs())) {
             AcquisitionDecision.WAIT -> Unit
 
-            AcquisitionDecision.ACQUIRE -> acquire(zone, before, leaseId, isForcedTakeover = false)
+            AcquisitionDecision.ACQUIRE -> acquire(zone, previous, leaseId, isForcedTakeover = false)
 
             AcquisitionDecision.FORCE_TAKEOVER -> {
                 log.info("partition={} leader={} leader unresponsive, forced takeover", zone, leader)
-                acquire(zone, before, leaseId, isForcedTakeover = true)
+                acquire(zone, previous, leaseId, isForcedTakeover = true)
             }
         }
     }
 
-    /** Acquires the partition of [zone], whose leader record was [before]. */
+    /** Tries to acquire the partition of [zone], whose leader record was [previous]. */
     private suspend fun acquire(
         zone: String,
-        before: Snapshot<LeaderRecord>,
+        previous: Snapshot<LeaderRecord>,
         leaseId: Long,
         isForcedTakeover: Boolean,
     ) {
-        val change = acquisition(zone, before, leaseId, isForcedTakeover)
+        val change = acquisition(zone, previous, leaseId, isForcedTakeover)
         client.rateLimiter.acquire(change.size)
         when (val outcome = client.transact(change)) {
             is TransactionOutcome.Applied -> {
@@ -71,26 +74,30 @@
 
             is TransactionOutcome.Refused -> if (outcome.status == STATUS_BAD_LEASE) storeLease.leaseExpired()
 
-            // If it is carried out after all, the record shows this label and is acquired anew under a new token.
+            // If the transaction is applied after all, the record shows this controller's label, and this controller
+            // acquires the partition again under a new token.
             is TransactionOutcome.Unknown ->
-                log.info("partition={} error=\"{}\" leadership acquisition unanswered", zone, outcome.reason)
+                log.info("partition={} error=\"{}\" leadership acquisition outcome unknown", zone, outcome.reason)
         }
     }
 
-    /** A forced takeover leaves the marker that tells later leaders to wait for the fence of the one before. */
+    /**
+     * Returns the transaction of an acquisition. A forced takeover also writes the marker that makes later leaders wait
+     * until the fence of the previous leader has expired.
+     */
     private fun acquisition(
         zone: String,
-        before: Snapshot<LeaderRecord>,
+        previous: Snapshot<LeaderRecord>,
         leaseId: Long,
         isForcedTakeover: Boolean,
     ): CompareAndSwap {
-        val put = CompareAndSwap.put(before, encodeRecord(LeaderRecord.serializer(), record), lease = leaseId)
+        val put = CompareAndSwap.put(previous, encodeRecord(LeaderRecord.serializer(), record), lease = leaseId)
         if (!isForcedTakeover) return put
         return put.alsoPut(StoreKeys.takeoverMarker(zone), JsonPrimitive(record.incarnation))
     }
 
     private companion object {
-        /** The store's answer to a transaction on a lease that it does not know. */
+        /** The store's status for a transaction with a lease that does not exist in the store. */
         const val STATUS_BAD_LEASE = 400
         const val REPLICA_WAIT_MS = 2_000L
     }
--- a/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
+++ b/src/main/kotlin/io/otterknot/leadership/PartitionLeadership.kt
@@ -12,10 +12,11 @@
 /**
  * Which partitions this controller leads, and until when it may act for them.
  *
- * A partition's leader record depends on this controller's store lease ([StoreLeaseKeeper]) and was put by a guarded
- * transaction ([PartitionAcquirer]), whose revision is both the record's version and the fencing token that workers are
- * shown: it rises with each change of leader. Commands are given only under [actingToken]; transactions are guarded by
- * [leadershipCondition] and need no fence. The safety argument is in `docs/design.md`, "One leader at a time".
+ * A partition's leader record is attached to this controller's store lease ([StoreLeaseKeeper]) and was written by a
+ * conditional transaction ([PartitionAcquirer]). The revision of that transaction is both the record's version and the
+ * fencing token that workers receive; it increases with each change of leader. Commands are given only under
+ * [actingToken]; transactions are guarded by [leadershipCondition] and need no fence. The safety argument is in
+ * `docs/design.md`, "One leader at a time".
  */
 class PartitionLeadership(
     private val settings: LeadershipSettings,
@@ -26,7 +27,7 @@
     private val nowMs: () -> Long,
     random: Random,
 ) {
-    /** Which earlier leaders, whose partitions were taken over, may still act. */
+    /** Until when earlier leaders, whose partitions were taken over by force, may still act. */
     val takeoverMarkers = TakeoverMarkers(settings.storeLeaseTtlMs, nowMs)
 
     private val record = LeaderRecord(settings.label, random.nextLong().toULong().toString(INCARNATION_RADIX))
@@ -42,41 +43,43 @@
 
     val ledPartitionCount: Int get() = ledPartitions.size
 
-    /** Of all partitions, the share from 0 to 1 that this controller may act for now. */
+    /** The share of all partitions, from 0 to 1, that this controller may act for now. */
     fun ledPartitionShare(): Double =
         if (fence.isValid(nowMs())) ledPartitions.size.toDouble() / settings.zones.size else 0.0
 
-    /** The fencing token of [zone] if this controller may give commands there now; null if it may not. */
+    /** The fencing token of [zone] if this controller may give commands there now, or null if it may not. */
     fun actingToken(zone: String): Long? = ledPartitions.fencingToken(zone)?.takeIf { fence.isValid(nowMs()) }
 
     /** Whether commands may be given now under the acquisition that [partition] belongs to. */
     fun mayActFor(partition: Partition): Boolean = actingToken(partition.zone) == partition.fencingToken
 
-    /** The fencing token of [zone] whether or not the fence is valid; null if this controller does not lead it. */
+    /** The fencing token of [zone] whether or not the fence is valid, or null if this controller does not lead it. */
     fun acquiredToken(zone: String): Long? = ledPartitions.fencingToken(zone)
 
-    /** Guards a transaction of the leader of [zone]; null if this controller does not lead it. */
+    /** The condition that guards a transaction of the leader of [zone], or null if this controller does not lead it. */
     fun leadershipCondition(zone: String): VersionCondition? =
         ledPartitions.fencingToken(zone)?.let { VersionCondition(StoreKeys.partition(zone), it) }
 
-    /** The label of the controller that leads the partition of [zone], as the replica shows it; null if none does. */
+    /**
+     * The label of the controller that leads the partition of [zone], as the replica shows it, or null if none does.
+     */
     fun leaderOf(zone: String): String? = leaderRecords.leaderOf(zone)
 
-    /** Whether the leader of [zone] seems not to answer its workers. */
+    /** Whether the leader of [zone] seems unresponsive to its workers. */
     fun isLeaderSuspected(zone: String): Boolean = failureDetector.isLeaderSuspected(zone, nowMs())
 
-    /** Keeps the store lease until cancelled. */
+    /** Grants, renews and confirms the store lease until cancelled. */
     suspend fun keepStoreLease() = storeLease.keep()
 
     /**
-     * Acquires partitions until cancelled. Only while the fence is valid: an acquisition on a stale replica then is no
-     * exception to what the fence promises.
+     * Acquires partitions until cancelled, but only while the fence is valid: the guarantee of the fence then also
+     * holds for an acquisition that is based on a stale replica.
      */
     suspend fun acquirePartitions() {
         while (true) {
             val leaseId = storeLease.leaseId
             if (leaseId != null && mayAcquire()) {
-                for (zone in settings.zones) acquirer.consider(zone, leaseId)
+                for (zone in settings.zones) acquirer.acquireIfDue(zone, leaseId)
             }
             delay(ACQUISITION_PERIOD_MS)
         }
@@ -86,16 +89,16 @@
     suspend fun transferLeadership(zone: String, requesterPartitionCount: Int) =
         transfers.transfer(zone, requesterPartitionCount)
 
-    /** The partition that this controller should ask another one for; null if there is none. */
+    /** The transfer that this controller should request from another one, or null if it needs none. */
     fun nextTransferRequest(): TransferRequest? = if (fence.isValid(nowMs())) transfers.nextRequest() else null
 
-    /** A worker or a failed guard has shown that somebody else leads the partition of [zone]. */
+    /** Called when a worker or a failed condition has shown that another controller leads the partition of [zone]. */
     fun leadershipLost(zone: String) = ledPartitions.lost(zone)
 
     /**
-     * A machine reports here and is redirected to the leader of its partition. It has left that leader if it was with
-     * it, and then it shows the leader's [fencingToken]: one that shows a lower token, as a whole zone does that was
-     * cut off, only looks for its leader.
+     * Called when a machine reports here and is redirected to the leader of its partition. It has left that leader if
+     * it is registered and sends the leader's [fencingToken]. A machine that sends a lower token, as all machines of a
+     * zone do after the zone was isolated, is only looking for its leader.
      */
     fun workerRedirected(zone: String, machine: String, fencingToken: Long) {
         val hasLeftLeader = machine in host.registeredMachines(zone) && fencingToken == leaderRecords.version(zone)
@@ -103,8 +106,9 @@
     }
 
     /**
-     * The replica shows a change of the leader record of [zone], null for a removed one. It shows that before any later
-     * change, so no job or reassignment that is written after another controller's acquisition is served here.
+     * Called when the replica shows a change of the leader record of [zone]; [version] is null if the record was
+     * removed. The replica shows changes in their order, so this controller serves no job or reassignment that was
+     * written after another controller's acquisition.
      */
     fun leaderRecordChanged(zone: String, version: Long?) {
         failureDetector.leaderChanged(zone, nowMs())
--- a/src/main/kotlin/io/otterknot/leadership/StoreLeaseKeeper.kt
+++ b/src/main/kotlin/io/otterknot/leadership/StoreLeaseKeeper.kt
@@ -11,13 +11,14 @@
 import kotlin.random.Random
 
 /**
- * Keeps the store lease on which all leader records of this controller depend, and alone moves the [fence].
+ * Keeps the store lease to which all leader records of this controller are attached. Nothing else changes the [fence].
  *
- * The fence moves only to a moment up to which this controller knows everything: to the sending of a renewal after
- * which all its partitions were confirmed as its own, once the replica holds what the store held at that confirmation.
- * That keeps "a cancellation that the leader does not know was told after *sent*" (`docs/design.md`, "One leader at a
- * time"): requests may be relayed by another controller while the watch stands still, and a leader that answered workers
- * without knowing of cancellations that users were told of would keep their tasks alive.
+ * The fence is extended only from a moment up to which this controller has read everything: the sending of a renewal
+ * after which the store confirmed all its partitions, once the replica has reached the revision of that confirmation.
+ * So any cancellation that the leader has not read was confirmed to its user after the renewal was *sent*
+ * (`docs/design.md`, "One leader at a time"). A successful renewal alone does not ensure this, since another controller
+ * may relay requests while the watch makes no progress. A leader that answered workers without having read the
+ * cancellations that were confirmed to users would keep the cancelled tasks running.
  */
 internal class StoreLeaseKeeper(
     private val client: KeyValueStoreClient,
@@ -29,7 +30,7 @@
 ) {
     private val log = LoggerFactory.getLogger(StoreLeaseKeeper::class.java)
 
-    /** The lease that the store granted; null until there is one and after it has expired. */
+    /** The lease that the store granted, or null before the first grant and after the lease has expired. */
     var leaseId: Long? = null
         private set
 
@@ -44,7 +45,7 @@
         }
     }
 
-    /** The store does not know the lease any more: whatever depended on it may be somebody else's by now. */
+    /** Called when the store lease has expired: other controllers may have acquired the partitions attached to it. */
     fun leaseExpired() {
         log.warn("lease={} store lease expired", leaseId)
         leaseId = null
@@ -70,7 +71,7 @@
         }
     }
 
-    /** Whether the partitions are led here and the replica is complete, both as of some moment after the call. */
+    /** Whether this controller leads its partitions and the replica is complete, both at some moment after the call. */
     private suspend fun isLeadershipConfirmed(): Boolean {
         replica.awaitLoaded()
         val revision = confirmedRevision() ?: return false
@@ -81,8 +82,8 @@
     }
 
     /**
-     * The store's revision at a moment when every partition was led here under its fencing token; those that were not
-     * are given up. Null: not known.
+     * Returns the store's revision at a moment when this controller led each of its partitions under its fencing token,
+     * or null if that is not known. Drops the partitions that this controller does not lead any more.
      */
     private suspend fun confirmedRevision(): Long? {
         val expectedTokens = ledPartitions.fencingTokens()
@@ -93,7 +94,7 @@
             is TransactionOutcome.Applied -> outcome.revision
 
             is TransactionOutcome.Conflict -> {
-                giveUpFailed(expectedTokens, outcome.failedKeys)
+                dropFailedPartitions(expectedTokens, outcome.failedKeys)
                 null
             }
 
@@ -101,8 +102,8 @@
         }
     }
 
-    /** A partition that was acquired anew while the answer was on its way stays: its token is another one. */
-    private fun giveUpFailed(expectedTokens: Map<String, Long>, failedKeys: List<String>) {
+    /** Keeps a partition that was acquired again while the answer was on its way, since its token differs. */
+    private fun dropFailedPartitions(expectedTokens: Map<String, Long>, failedKeys: List<String>) {
         for ((zone, token) in expectedTokens) {
             val hasFailed = StoreKeys.partition(zone) in failedKeys
             if (hasFailed && ledPartitions.fencingToken(zone) == token) ledPartitions.lost(zone)
--- a/src/main/kotlin/io/otterknot/leadership/StoreLeaseTtl.kt
+++ b/src/main/kotlin/io/otterknot/leadership/StoreLeaseTtl.kt
@@ -1,9 +1,9 @@
 package io.otterknot.leadership
 
 /**
- * The time to live of the store lease in milliseconds: long enough to ride out an outage of the store, and short enough
- * that a leader that is cut off from it stops, and its workers' leases ([workerLeaseS]) expire, before the tasks of a
- * cancelled job must be gone ([cancelS]). See "Its tasks are gone in time" in `docs/design.md`.
+ * The time to live of the store lease in milliseconds: long enough to outlast an outage of the store, and short enough
+ * that a leader that is isolated from the store stops, and its workers' leases ([workerLeaseS]) expire, before the
+ * tasks of a cancelled job must have stopped ([cancelS]). See "Its tasks are gone in time" in `docs/design.md`.
  */
 fun storeLeaseTtlMs(workerLeaseS: Double, cancelS: Double): Long =
     ((cancelS - workerLeaseS - CANCELLATION_MARGIN_S) * MS_PER_S).toLong().coerceIn(MIN_TTL_MS, MAX_TTL_MS)
--- a/src/test/kotlin/io/otterknot/leadership/LeaderFailureDetectorTest.kt
+++ b/src/test/kotlin/io/otterknot/leadership/LeaderFailureDetectorTest.kt
@@ -6,14 +6,14 @@
 
 class LeaderFailureDetectorTest {
     /**
-     * With a fixed number, machines that hang and go on together would have a large partition claimed from a sound
-     * leader.
+     * With a fixed number, machines of a large partition that hang and resume together would cause a forced takeover
+     * from a leader that works.
      */
     @ParameterizedTest
     @CsvSource("6,3,3", "16,3,3", "315,5,24", "250,3,38", "470,5,36")
-    fun `how many departures speak against a leader grows with its partition`(
+    fun `the number of departures that counts as a leader failure grows with the partition`(
         machines: Int,
         controllers: Int,
         departures: Int,
-    ) = assertEquals(departures, departuresOfFailure(machines, controllers))
+    ) = assertEquals(departures, failureDepartureThreshold(machines, controllers))
 }
--- a/src/test/kotlin/io/otterknot/leadership/LeadershipSettingsTest.kt
+++ b/src/test/kotlin/io/otterknot/leadership/LeadershipSettingsTest.kt
@@ -5,7 +5,7 @@
 
 class LeadershipSettingsTest {
     @Test
-    fun `controllers acquire a partition in a strict order, the one of its zone first`() {
+    fun `controllers have distinct acquisition ranks, with the controller of the zone first`() {
         val domains = mapOf("n0" to "a", "n1" to "b", "n2" to "c")
         val zones = listOf("a", "b", "c", "d")
         for (zone in zones) {
--- a/src/test/kotlin/io/otterknot/leadership/StoreLeaseTtlTest.kt
+++ b/src/test/kotlin/io/otterknot/leadership/StoreLeaseTtlTest.kt
@@ -7,7 +7,7 @@
 class StoreLeaseTtlTest {
     @ParameterizedTest
     @CsvSource("10,35", "14,34", "5,60", "20,25")
-    fun `a leader that is cut off and its workers stop before a cancelled task must be gone`(
+    fun `an isolated leader and its workers stop before a cancelled task must have stopped`(
         leaseS: Double,
         cancelS: Double,
     ) {
--- a/src/test/kotlin/io/otterknot/leadership/TakeoverMarkersTest.kt
+++ b/src/test/kotlin/io/otterknot/leadership/TakeoverMarkersTest.kt
@@ -8,12 +8,12 @@
     private val markers = TakeoverMarkers(leaseTtlMs = 20_000) { nowMs }
 
     @Test
-    fun `without a marker no earlier leader may act`() {
+    fun `without a marker no earlier leader may still act`() {
         assertEquals(1_000, markers.priorLeaderUntilMs("a", isForcedTakeover = false))
     }
 
     @Test
-    fun `a leader that has just been taken over may act for one time to live`() {
+    fun `a leader that has just been taken over may act for one lease time to live`() {
         assertEquals(21_000, markers.priorLeaderUntilMs("a", isForcedTakeover = true))
     }
 
