--- a/src/main/kotlin/io/otterknot/jobs/DependencyGraph.kt
+++ b/src/main/kotlin/io/otterknot/jobs/DependencyGraph.kt
@@ -3,22 +3,25 @@
 import io.otterknot.records.TerminalState
 
 /**
- * The directed acyclic graph of jobs that depend on others, derived from the replica alone, so that all controllers
- * that have read the same revision agree on it. Work is done only where a job is read for the first time or ends, and
- * along what that changes. Chains may be long and fans wide, so all walks keep a queue instead of recursing.
+ * The directed acyclic graph of jobs that depend on others. It is derived from the replica alone, so that all
+ * controllers that have read the same revision have the same graph. It is updated only when a job is read for the first
+ * time or ends, and only for the jobs that this affects. Chains may be long and a job may have many dependents, so all
+ * traversals use a queue instead of recursion.
  *
- * [findJob] returns null for a job of which nothing has been read.
+ * [findJob] returns a job by its id, or null if nothing has been read of it.
  */
 class DependencyGraph(private val findJob: (String) -> Job?) {
-    /** By the id of a job that is not done, the jobs that directly depend on it; only added to until it is done. */
+    /**
+     * The jobs that directly depend on a job that has not ended, by its id. Each list only grows until that job ends.
+     */
     private val dependents = HashMap<String, ArrayList<Job>>()
 
-    /** The segments read so far of lists of dependencies that did not fit in the job's record, by job and number. */
+    /** The segments read so far of dependency lists that did not fit in the job's record, by job id and number. */
     private val segments = HashMap<String, HashMap<Int, List<String>>>()
 
     private val inheritance = PriorityInheritance(findJob) { dependents[it].orEmpty() }
 
-    /** Takes in that [changed] was read for the first time or has ended; returns the other jobs that this affects. */
+    /** Updates the graph when [changed] was read for the first time or has ended; returns the other affected jobs. */
     fun jobChanged(changed: Job): List<Job> {
         val affected = LinkedHashSet<Job>()
         if (changed.isActive) {
@@ -36,14 +39,14 @@
         return affected.toList()
     }
 
-    /** Takes in segment [number] of the dependencies of [dependent]; returns the jobs that this affects. */
+    /** Adds segment [number] of the dependencies of [dependent] and returns the jobs that this affects. */
     fun addSegment(dependent: Job, number: Int, dependencyIds: List<String>): List<Job> {
         if (dependent.recordedTerminalState != null) return emptyList()
         segments.getOrPut(dependent.id) { HashMap() }[number] = dependencyIds
         return if (dependent.isActive) listOf(dependent) + jobChanged(dependent) else emptyList()
     }
 
-    /** Adds the edges of an active job, once the whole list of its dependencies has been read. */
+    /** Adds the edges of an active job once the complete list of its dependencies has been read. */
     private fun resolveDependencies(dependent: Job) {
         if (dependent.dependencies.jobIds.isNotEmpty()) return
         val segmentCount = dependent.record?.dependencySegments
@@ -51,7 +54,9 @@
         if (ids != null) addEdges(dependent, ids.toSet())
     }
 
-    /** The list of dependencies in [count] segments; null, with the job not ready, while some are missing. */
+    /**
+     * Joins the [count] segments of the dependencies. Returns null and keeps the job unready while some are missing.
+     */
     private fun joinSegments(dependent: Job, count: Int): List<String>? {
         val read = segments[dependent.id].orEmpty()
         if (read.size < count) {
@@ -75,7 +80,7 @@
         }
     }
 
-    /** Lets the jobs that depend on [ended] know, and those that depend on the ones that are cancelled by that. */
+    /** Updates the dependents of [ended], and in turn the dependents of the jobs that are cancelled with it. */
     private fun propagateTerminalState(ended: Job, affected: MutableSet<Job>) {
         val queue = ArrayDeque(listOf(ended))
         while (queue.isNotEmpty()) {
--- a/src/main/kotlin/io/otterknot/jobs/JobTable.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTable.kt
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * All jobs ever accepted, as the replica shows them; jobs that have ended are kept without their spec. The `apply`
- * functions take one changed key each, in whatever order keys are read; null as the entry stands for a removed key.
+ * All jobs ever accepted, as the replica shows them; jobs that have ended are kept without their spec. Each call of an
+ * `apply` function handles one changed key, and keys may be read in any order. The entry is null for a removed key.
  */
 class JobTable {
     private val log = LoggerFactory.getLogger(JobTable::class.java)
@@ -25,16 +25,16 @@
     /** The jobs without a recorded terminal state, in the order in which they were first read. */
     val activeJobs: Collection<Job> get() = active.values
 
-    /** The job of this id; null: none has been accepted, as far as the replica shows. */
+    /** The job with this id, or null if the replica shows no accepted job with it. */
     operator fun get(id: String): Job? = jobs[id]?.takeIf { it.record != null }
 
-    /** Takes a change of a job's own key; returns that job and the others that this affects. */
+    /** Applies a change of a job's own key; returns that job and the other jobs that this affects. */
     fun applyJobChange(key: String, entry: ReplicaEntry?): List<Job> {
         val job = getOrCreate(key.substring(StoreKeys.JOBS.length))
         if (entry == null) return listOf(job)
         val earlierState = job.recordedTerminalState
         job.snapshot = Snapshot(key, decodeRecord(JobRecord.serializer(), entry.value), entry.version)
-        if (earlierState != null) checkStateKept(job, earlierState)
+        if (earlierState != null) checkStateUnchanged(job, earlierState)
         if (job.isActive) {
             active[job.id] = job
         } else {
@@ -44,7 +44,7 @@
         return if (earlierState != null) listOf(job) else listOf(job) + dependencyGraph.jobChanged(job)
     }
 
-    /** Takes a change of a segment of a job's dependencies; returns the jobs that this affects. */
+    /** Applies a change of a segment of a job's dependencies; returns the jobs that this affects. */
     fun applyDependencySegment(key: String, entry: ReplicaEntry?): List<Job> {
         if (entry == null) return emptyList()
         val path = key.substring(StoreKeys.DEPENDENCIES.length)
@@ -55,7 +55,7 @@
         )
     }
 
-    /** Takes a change of a completion segment; returns the jobs with newly completed tasks. */
+    /** Applies a change of a completion segment; returns the jobs whose completion bitmaps changed. */
     fun applyCompletionSegment(key: String, entry: ReplicaEntry?): List<Job> {
         if (entry == null) {
             completionSegments.remove(key)
@@ -74,7 +74,7 @@
     fun completionSegments(prefix: String): Map<String, CompletionSegmentRecord> =
         completionSegments.filterKeys { it.startsWith(prefix) }
 
-    /** Whether the bitmap of this name in a completion segment must be kept, since its job has not ended. */
+    /** Whether the bitmap of this name in a completion segment must be kept because its job has not ended. */
     fun isBitmapNeeded(name: String): Boolean = jobs[TaskBitmaps.jobOf(name)]?.recordedTerminalState == null
 
     private fun getOrCreate(id: String) = jobs.getOrPut(id) { Job(id) }
@@ -95,13 +95,14 @@
         }
     }
 
-    /** No transition replaces a terminal state; earlier versions could, see docs/incidents/went-back.md. */
-    private fun checkStateKept(job: Job, earlierState: TerminalState) {
+    /**
+     * Logs an error if the recorded terminal state has been replaced. No transition does so, but earlier versions
+     * could: see docs/incidents/went-back.md.
+     */
+    private fun checkStateUnchanged(job: Job, earlierState: TerminalState) {
         val state = job.recordedTerminalState
-        if (state !=
-            earlierState
-        ) {
-            log.error("job={} terminal state replaced was={} now={}", job.id, earlierState, state)
+        if (state != earlierState) {
+            log.error("job={} was={} now={} terminal state replaced", job.id, earlierState, state)
         }
     }
 }
--- a/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
@@ -14,37 +14,39 @@
 import java.util.BitSet
 
 /**
- * All transitions of a job's key: accepted, tasks reassigned, and one terminal state. Each function reads the job and
- * takes the guard from the same snapshot in one step, and nothing else writes the key of a job. A job with a terminal
- * state has no transition left, so that state is never replaced.
+ * All transitions of a job's key: acceptance, reassignment of tasks, and one terminal state. Each function takes the
+ * job's state and the version condition of the transaction from the same snapshot in one step, and nothing else writes
+ * the key of a job. A job with a terminal state has no further transition, so that state is never replaced.
  */
 object JobTransitions {
     /**
-     * Creates the job. If its dependencies do not fit in its own key, they go to segments of their own in the same
-     * transaction, so that the job never exists without them. Null: it does not fit in one transaction.
+     * Returns the transaction that creates the job, or null if the job does not fit in one transaction. Dependencies
+     * that do not fit in the job's own key are written to segments in the same transaction, so that the job never
+     * exists without them.
      */
     fun accept(record: JobRecord, limits: WriteLimits): CompareAndSwap? {
         val spec = record.spec ?: return null
-        val whole = create(StoreKeys.job(spec.id), encode(record))
-        if (limits.fits(whole)) return whole
+        val unsegmented = create(StoreKeys.job(spec.id), encode(record))
+        if (limits.fits(unsegmented)) return unsegmented
         val dependencies = spec.dependencies ?: return null
         return acceptWithSegments(record, splitIntoSegments(dependencies, limits.maxValueBytes), limits)
     }
 
-    /** Cancels the job for its user. Null: it has a terminal state already, or was never accepted. */
+    /** Returns the transaction that cancels the job for its user, or null if it has ended or was never accepted. */
     fun cancel(job: Job, wallMs: Long, limits: WriteLimits): CompareAndSwap? =
         if (job.terminalState == null) end(job, TerminalState.CANCELLED, wallMs, limits) else null
 
     /**
-     * Records the terminal state that follows from what is durable: done once all tasks are, cancelled once a job that
-     * this one depends on is. Null: nothing follows yet, or the terminal state is recorded.
+     * Returns the transaction that records the terminal state that follows from the stored data: done once all tasks
+     * are done, cancelled once a job that this one depends on is cancelled. Returns null if no terminal state follows
+     * yet or it is recorded already.
      */
     fun finish(job: Job, wallMs: Long, limits: WriteLimits): CompareAndSwap? =
         job.unrecordedTerminalState?.let { end(job, it, wallMs, limits) }
 
     /**
-     * Assigns [tasks] to the partition of [zone]. Null: the job has a terminal state, or its tasks would be divided
-     * into too many spans.
+     * Returns the transaction that assigns [tasks] to the partition of [zone], or null if the job was never accepted,
+     * has a terminal state, or would have more than [MAX_SPANS] spans of tasks.
      */
     fun reassign(job: Job, tasks: BitSet, zone: String): CompareAndSwap? {
         val snapshot = job.snapshot ?: return null
@@ -62,13 +64,13 @@
     ): CompareAndSwap? {
         val spec = record.spec ?: return null
         val shortened = record.copy(spec = spec.copy(dependencies = null), dependencySegments = segments.size)
-        val main = create(StoreKeys.job(spec.id), encode(shortened))
+        val jobChange = create(StoreKeys.job(spec.id), encode(shortened))
         val segmentChanges = segments.mapIndexed { number, segment ->
             val value = encodeRecord(DependencySegmentRecord.serializer(), segment)
             create(StoreKeys.dependencySegment(spec.id, number), value)
         }
-        val all = segmentChanges.reduce(CompareAndSwap::plus) + main
-        return all.takeIf { limits.fits(main) && fitsOneTransaction(all, limits) }
+        val transaction = segmentChanges.reduce(CompareAndSwap::plus) + jobChange
+        return transaction.takeIf { limits.fits(jobChange) && fitsOneTransaction(transaction, limits) }
     }
 
     private fun fitsOneTransaction(transaction: CompareAndSwap, limits: WriteLimits): Boolean {
@@ -77,8 +79,8 @@
     }
 
     /**
-     * Records [state] and removes the segments of the job's dependencies, as many as the transaction may hold: what is
-     * left of them has no meaning, since the job has ended.
+     * Records [state] and removes as many segments of the job's dependencies as the transaction may hold. Segments that
+     * remain have no meaning, since the job has ended.
      */
     private fun end(job: Job, state: TerminalState, wallMs: Long, limits: WriteLimits): CompareAndSwap? {
         val snapshot = job.snapshot ?: return null
@@ -113,6 +115,6 @@
     /** Bytes of `{"i":""}`, rounded up. */
     private const val SEGMENT_OVERHEAD_BYTES = 16
 
-    /** The most spans of one job; with more, its value would become too large, so its tasks stay where they are. */
+    /** The most spans of one job: with more, its value would become too large, so its tasks are not reassigned. */
     private const val MAX_SPANS = 48
 }
--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -27,31 +27,35 @@
 import java.time.Duration
 import kotlin.random.Random
 
-/** Jobs that depend on others: when they are ready or cancelled, and what they inherit, from the replica alone. */
+/** When jobs with dependencies are ready or cancelled and what jobs inherit, as derived from the replica alone. */
 class DependencyGraphTest {
     private val table = JobTable()
     private var revision = 0L
 
     private fun id(number: Int) = "j-%06d".format(number)
 
-    private fun spec(number: Int, awaits: List<Int>, priority: Priority = Priority.BEST_EFFORT, dueS: Double? = null) =
-        JobSpec(
-            id(number),
-            "k",
-            "red",
-            priority,
-            2,
-            2.0,
-            memoryGb = 1.0,
-            image = "i",
-            imageGb = 1.0,
-            spot = true,
-            estimateS = 10.0,
-            dueS = dueS,
-            dependencies = awaits.map(::id).ifEmpty { null },
-        )
+    private fun spec(
+        number: Int,
+        dependencies: List<Int>,
+        priority: Priority = Priority.BEST_EFFORT,
+        dueS: Double? = null,
+    ) = JobSpec(
+        id(number),
+        "k",
+        "red",
+        priority,
+        2,
+        2.0,
+        memoryGb = 1.0,
+        image = "i",
+        imageGb = 1.0,
+        spot = true,
+        estimateS = 10.0,
+        dueS = dueS,
+        dependencies = dependencies.map(::id).ifEmpty { null },
+    )
 
-    /** Stores [record]; the ids of the jobs that this affects. */
+    /** Stores [record] and returns the ids of the jobs that this affects. */
     private fun put(record: JobRecord, number: Int): List<String> = table.applyJobChange(
         StoreKeys.job(id(number)),
         ReplicaEntry(encodeRecord(JobRecord.serializer(), record), ++revision),
@@ -59,12 +63,12 @@
 
     private fun submit(
         number: Int,
-        vararg awaits: Int,
+        vararg dependencies: Int,
         priority: Priority = Priority.BEST_EFFORT,
         dueS: Double? = null,
     ) = put(
         JobRecord(
-            spec(number, awaits.toList(), priority, dueS),
+            spec(number, dependencies.toList(), priority, dueS),
             listOf(TaskSpan("a", 0, 2)),
             submittedMs = 1_000L * number,
         ),
@@ -79,7 +83,7 @@
     private fun terminalState(number: Int) = table[id(number)]!!.terminalState
 
     @Test
-    fun `a job is ready once all that it awaits is done, whichever comes first`() {
+    fun `a job is ready once all its dependencies are done, in whatever order they end`() {
         submit(1)
         submit(2)
         submit(3, 1, 2)
@@ -89,10 +93,10 @@
         assertTrue(!isReady(3))
         assertEquals(listOf(id(2), id(3)), end(2))
         assertTrue(isReady(3) && !isReady(4))
-        assertEquals(100_002L, table[id(3)]!!.readyMs, "aims on waiting count from the end of the last")
+        assertEquals(100_002L, table[id(3)]!!.readyMs, "waiting time counts from the end of the last dependency")
         assertEquals(3_000L, submit(3, 1, 2).let { table[id(3)]!!.record!!.submittedMs })
         submit(5, 1, 2)
-        assertTrue(isReady(5), "all that it names was over already")
+        assertTrue(isReady(5), "all its dependencies were done before it was submitted")
         end(3, TerminalState.DONE)
         assertTrue(isReady(4))
     }
@@ -101,7 +105,7 @@
     fun `the order in which a restarted controller reads the jobs does not matter`() {
         for (order in listOf(listOf(1, 2, 3, 4), listOf(4, 3, 2, 1), listOf(3, 1, 4, 2))) {
             val read = JobTable()
-            fun take(number: Int, record: JobRecord) = read.applyJobChange(
+            fun applyRecord(number: Int, record: JobRecord) = read.applyJobChange(
                 StoreKeys.job(id(number)),
                 ReplicaEntry(encodeRecord(JobRecord.serializer(), record), 1),
             )
@@ -111,7 +115,7 @@
                 3 to JobRecord(spec(3, listOf(1, 2))),
                 4 to JobRecord(spec(4, listOf(3))),
             )
-            order.forEach { take(it, records.getValue(it)) }
+            order.forEach { applyRecord(it, records.getValue(it)) }
             assertEquals(
                 listOf(TerminalState.CANCELLED, TerminalState.DONE, TerminalState.CANCELLED, TerminalState.CANCELLED),
                 (1..4).map { read[id(it)]!!.terminalState },
@@ -140,7 +144,7 @@
     }
 
     @Test
-    fun `what needs a cancelled job is cancelled with it and never ready, whatever else ends`() {
+    fun `jobs that depend on a cancelled job are cancelled with it and are never ready`() {
         submit(1)
         submit(2)
         submit(3, 1, 2)
@@ -151,17 +155,17 @@
         end(2)
         assertTrue(!isReady(3) && !isReady(4) && isReady(5))
         submit(6, 4)
-        assertEquals(TerminalState.CANCELLED, terminalState(6), "submitted after the cancellation")
+        assertEquals(TerminalState.CANCELLED, terminalState(6), "submitted after its dependency was cancelled")
         val completions =
             encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(mapOf(id(4) to "Aw")))
         table.applyCompletionSegment(StoreKeys.completionSegment("a", "1-0"), ReplicaEntry(completions, ++revision))
-        assertTrue(!table[id(4)]!!.isComplete, "it is never called done")
+        assertTrue(!table[id(4)]!!.isComplete, "a cancelled job must not become complete")
     }
 
-    /** Each level of a chain would take a level of the stack otherwise. */
+    /** A recursive traversal would overflow the stack on a long chain. */
     @ParameterizedTest
     @ValueSource(ints = [20_000])
-    fun `long chains and wide fans take no recursion and no time`(count: Int) = assertTimeout(Duration.ofSeconds(20)) {
+    fun `long chains and wide fan-out need little stack and time`(count: Int) = assertTimeout(Duration.ofSeconds(20)) {
         submit(0)
         for (number in 1..count) submit(number, number - 1)
         submit(count + 1, count, priority = Priority.HIGH, dueS = 900.0)
@@ -175,13 +179,13 @@
     }
 
     @Test
-    fun `a job is as urgent as the most urgent that needs it, and only for as long`() {
+    fun `a job inherits the urgency of its most urgent dependent until that dependent ends`() {
         submit(1)
         submit(2, 1)
         submit(3, 2, priority = Priority.HIGH, dueS = 100.0)
         submit(4, 1, priority = Priority.NORMAL, dueS = 300.0)
         fun inherited(number: Int) = table[id(number)]!!.dependencies.let { it.inheritedPriority to it.inheritedDueMs }
-        // Each step back takes the estimate of 10 s and 4 s besides.
+        // Each dependency is due earlier than its dependent by the estimate of 10 s and the handoff of 4 s.
         assertEquals(Priority.HIGH to 103_000L - 14_000, inherited(2))
         assertEquals(Priority.HIGH to 103_000L - 28_000, inherited(1))
         assertTrue(id(1) in end(3, TerminalState.CANCELLED))
@@ -192,16 +196,16 @@
     }
 
     private fun partition(
-        aims: ServiceLevelObjectives = ServiceLevelObjectives(emptyMap()),
+        objectives: ServiceLevelObjectives = ServiceLevelObjectives(emptyMap()),
         registeredMachines: Map<String, String> = emptyMap(),
     ) = testPartition(
         listOf(unlimitedTeam("red")),
-        objectives = aims,
+        objectives = objectives,
         registeredMachines = registeredMachines,
     ) { MachineType("big", 8.0, 0.0, 64.0) }
 
     @Test
-    fun `a partition takes up nothing of a job before it is ready, and drops it when it is cancelled with another`() {
+    fun `a partition ignores a job until it is ready and drops a job cancelled with its dependency`() {
         val partition = partition()
         submit(1)
         submit(2, 1)
@@ -218,9 +222,9 @@
         assertEquals(listOf(id(2)), partition.jobs.map { it.id })
     }
 
-    /** Taken over, a job that was ready before the claim may run somewhere; one that became so afterwards can't. */
+    /** After a failover, tasks of a job that was ready before the acquisition may already run; later ones cannot. */
     @Test
-    fun `a job that becomes ready after a claim is in no doubt, one that was before is`() {
+    fun `a job that was ready before an acquisition is unreconciled, one that becomes ready later is pending`() {
         val partition = partition(registeredMachines = mapOf("m1" to "big"))
         submit(1)
         end(1)
@@ -237,8 +241,8 @@
     }
 
     @Test
-    fun `waits are measured from the end of what was awaited, due times from the submission`() {
-        val aims =
+    fun `waiting time is measured from the end of the dependencies and due times from the submission`() {
+        val objectives =
             ServiceLevelObjectives(
                 mapOf("k" to listOf(ServiceLevelObjective.Started(10.0, 0.9), ServiceLevelObjective.Deadline(1.0))),
             )
@@ -246,13 +250,13 @@
         submit(2, 1, dueS = 50.0)
         end(1)
         val waiting = table[id(2)]!!.let { PartitionJob(it, it.spec!!, 0) }
-        // Due 52 s after the epoch, less 6 s for the estimated run; ready at 100.001 s.
-        val missed = listOf(45_000L, 47_000L, 110_000L, 110_002L).map { aims.missed(waiting, it) }
+        // Due 52 s after the epoch, less 6 s for the estimated run; ready 100.001 s after the epoch.
+        val missed = listOf(45_000L, 47_000L, 110_000L, 110_002L).map { objectives.missed(waiting, it) }
         assertEquals(listOf(0, 1, 1, 2), missed)
     }
 
     @Test
-    fun `inherited urgency orders what waits`() {
+    fun `pending jobs are ordered by inherited urgency`() {
         val partition = partition(ServiceLevelObjectives(mapOf("k" to listOf(ServiceLevelObjective.Deadline(1.0)))))
         submit(1)
         submit(2)
@@ -267,13 +271,13 @@
 
     private fun list(count: Int) = List(count) { "j-%06d".format(it * 37) }
 
-    private fun accepted(awaits: List<String>, limits: WriteLimits): List<KeyChange>? = JobTransitions.accept(
-        JobRecord(spec(1, emptyList()).copy(dependencies = awaits), listOf(TaskSpan("a", 0, 2))),
+    private fun accepted(dependencies: List<String>, limits: WriteLimits): List<KeyChange>? = JobTransitions.accept(
+        JobRecord(spec(1, emptyList()).copy(dependencies = dependencies), listOf(TaskSpan("a", 0, 2))),
         limits,
     )?.changes
 
     @Test
-    fun `a long list is written in keys of its own in one transaction, and is read whole or not at all`() {
+    fun `a long dependency list is written to segments in one transaction and used only when read completely`() {
         val limits = WriteLimits(2_048, 6)
         assertEquals(1, accepted(list(20), limits)!!.size)
         assertEquals(null, accepted(list(2_000), limits))
@@ -288,15 +292,15 @@
                 } else {
                     read.applyDependencySegment(change.key, entry)
                 }
-                assertTrue(affected.none { it.isReady }, "not all has been read")
+                assertTrue(affected.none { it.isReady }, "no job is ready before all its dependencies are done")
                 if (index == order.size - 1) assertEquals(list(900).toSet(), read[id(1)]!!.dependencies.jobIds)
             }
-            // Its end removes them, and does not depend on what they held.
-            val ending = JobTransitions.cancel(read[id(1)]!!, 7, limits)!!.changes
-            assertEquals(changes.map { it.key }.toSet(), ending.map { it.key }.toSet())
+            // The end of the job removes its dependency segments, whatever they contain.
+            val cancellation = JobTransitions.cancel(read[id(1)]!!, 7, limits)!!.changes
+            assertEquals(changes.map { it.key }.toSet(), cancellation.map { it.key }.toSet())
             assertEquals(
                 TerminalState.CANCELLED,
-                decodeRecord(JobRecord.serializer(), ending.first().value!!).terminalState,
+                decodeRecord(JobRecord.serializer(), cancellation.first().value!!).terminalState,
             )
         }
     }
--- a/src/test/kotlin/io/otterknot/jobs/JobTableCompletionsTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/JobTableCompletionsTest.kt
@@ -14,7 +14,7 @@
 
 class JobTableCompletionsTest {
     @Test
-    fun `a completion changes its job once and jobs that are over not at all`() {
+    fun `a completion changes its job only once, and not if the job has ended`() {
         val table = JobTable()
         val spec =
             JobSpec("j-1", "k", "t", Priority.HIGH, 4, 1.0, memoryGb = 1.0, image = "i", imageGb = 1.0, estimateS = 1.0)
--- a/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/JobTableTest.kt
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test
 import java.util.BitSet
 
-/** The state of a job follows from its own key and the completion segments, in whatever order they are read. */
+/** The state of a job must not depend on the order in which its own key and the completion segments are read. */
 class JobTableTest {
     private val id = "j-000001"
     private val key = StoreKeys.job(id)
@@ -27,24 +27,24 @@
     private fun record(record: JobRecord, version: Long): (JobTable) -> Unit =
         { it.applyJobChange(key, ReplicaEntry(encodeRecord(JobRecord.serializer(), record), version)) }
 
-    /** A segment of an owner with [token], in which the tasks in [bits] are done. */
-    private fun segment(token: Int, bits: String, version: Long): (JobTable) -> Unit = {
+    /** A segment of the leader with fencing token [fencingToken], in which the tasks in [bits] are completed. */
+    private fun segment(fencingToken: Int, bits: String, version: Long): (JobTable) -> Unit = {
         val value = encodeRecord(CompletionSegmentRecord.serializer(), CompletionSegmentRecord(mapOf(id to bits)))
-        it.applyCompletionSegment(StoreKeys.completionSegment("a", "$token-0"), ReplicaEntry(value, version))
+        it.applyCompletionSegment(StoreKeys.completionSegment("a", "$fencingToken-0"), ReplicaEntry(value, version))
     }
 
     private val accepted = record(JobRecord(spec, listOf(TaskSpan("a", 0, 2))), 1)
     private val firstTask = segment(4, "AQ", 2)
     private val secondTask = segment(9, "Ag", 3)
 
-    private fun <T> permutations(of: List<T>): List<List<T>> = if (of.isEmpty()) {
+    private fun <T> permutations(items: List<T>): List<List<T>> = if (items.isEmpty()) {
         listOf(emptyList())
     } else {
-        of.flatMap { first -> permutations(of - first).map { listOf(first) + it } }
+        items.flatMap { first -> permutations(items - first).map { listOf(first) + it } }
     }
 
     @Test
-    fun `a job is complete once its key and all completions are read, of whichever owner and in whatever order`() {
+    fun `a job is complete once its key and the completions of all leaders are read, in any order`() {
         for (order in permutations(listOf(accepted, firstTask, secondTask))) {
             val jobs = JobTable()
             for ((read, change) in order.withIndex()) {
@@ -54,16 +54,16 @@
             }
             assertEquals(
                 TerminalState.DONE,
-                end(JobTransitions.finish(jobs[id]!!, 5, limits)!!.changes.single().value!!),
+                terminalStateOf(JobTransitions.finish(jobs[id]!!, 5, limits)!!.changes.single().value!!),
             )
         }
     }
 
-    private fun end(value: JsonElement) = decodeRecord(JobRecord.serializer(), value).terminalState
+    private fun terminalStateOf(value: JsonElement) = decodeRecord(JobRecord.serializer(), value).terminalState
 
-    /** Neither completions that are read later nor anybody's wish leads away from a final state. */
+    /** Neither later completions nor a cancellation or reassignment may replace a terminal state. */
     @Test
-    fun `a job with a final state has no transition left`() {
+    fun `a job with a terminal state has no further transition`() {
         for (final in TerminalState.entries) {
             val ended = record(JobRecord(terminalState = final, taskCount = 2), 7)
             for (order in permutations(listOf(firstTask, secondTask, ended))) {
@@ -80,7 +80,7 @@
     }
 
     @Test
-    fun `a transition keeps the version it was decided on`() {
+    fun `a transition is conditional on the version that it was decided on`() {
         val jobs = JobTable()
         accepted(jobs)
         val cancellation = JobTransitions.cancel(jobs[id]!!, 5, limits)!!
