--- a/src/main/kotlin/io/otterknot/partition/AttemptLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/AttemptLedger.kt
@@ -5,7 +5,10 @@
 import io.otterknot.scheduling.Machine
 import io.otterknot.scheduling.PartitionJob
 
-/** Books attempts on machines, jobs and teams, and releases what they hold. */
+/**
+ * Books attempts on machines, jobs and teams, which reserves the resources of a task there, and releases these
+ * resources when an attempt has exited or is not started after all.
+ */
 class AttemptLedger(
     private val fencingToken: Long,
     private val teams: TeamQuotaLedger,
@@ -14,21 +17,23 @@
 ) {
     private var issuedIds = 0L
 
-    /** Books the next pending task of [job] on [machine]; its start goes out with the machine's next response. */
+    /**
+     * Books the next pending task of [job] on [machine]; the next response to the machine carries the start command.
+     */
     fun bookNextTask(job: PartitionJob, machine: Machine, now: Long): Attempt {
         val task = job.pending.nextSetBit(0)
         job.pending.clear(task)
         return book(Attempt(job, task, nextId(), machine, AttemptPhase.BOOKED, now))
     }
 
-    /** Books an attempt that an earlier leader started, and which [machine] shows under the id [attemptId]. */
+    /** Books an attempt that an earlier leader started and that [machine] reports with the id [attemptId]. */
     fun adopt(machine: Machine, job: PartitionJob, task: Int, attemptId: Long, now: Long): Attempt {
         job.pending.clear(task)
         job.inDoubt.clear(task)
         return book(Attempt(job, task, attemptId, machine, AttemptPhase.SENT, now))
     }
 
-    /** Unlike the id of any attempt of another leader or an earlier start: the fencing token is in it. */
+    /** Returns an id that no other leader has used and no earlier attempt has: it contains the fencing token. */
     private fun nextId(): Long = (fencingToken shl SEQUENCE_BITS) or ++issuedIds
 
     private fun book(attempt: Attempt): Attempt {
@@ -38,11 +43,14 @@
         machine.book(job.spec)
         job.active.put(attempt.task, attempt)
         teams.book(job.team, job.spec)
-        waitingWork.touch(job)
+        waitingWork.markChanged(job)
         return attempt
     }
 
-    /** Frees what the attempt holds; the caller decides what becomes of its task. Once released, nothing happens. */
+    /**
+     * Releases the resources of [attempt] without requeuing its task, which the caller does where needed. Does nothing
+     * if the attempt has been released already.
+     */
     fun release(attempt: Attempt) {
         if (attempt.phase == AttemptPhase.EXITED) return
         attempt.markExited()
@@ -55,25 +63,31 @@
         teams.unbook(job.team, job.spec)
     }
 
-    /** The task is pending again if it still belongs here and is on no machine. */
+    /** Makes [task] pending again if it still belongs to this partition and is not assigned to a machine. */
     fun requeue(job: PartitionJob, task: Int) {
         if (job.finished || !job.isUnassigned(task)) return
         job.pending.set(task)
-        waitingWork.touch(job)
+        waitingWork.markChanged(job)
         trigger.requestFullPass()
     }
 
     fun requeue(attempt: Attempt) = requeue(attempt.job, attempt.task)
 
-    /** A machine shows that [task] has completed; until that is durable, the task neither waits nor counts as done. */
+    /**
+     * Records that a machine reports [task] as completed. Until the completion is durable, the task is neither pending
+     * nor complete.
+     */
     fun recordCompletion(job: PartitionJob, task: Int) {
         job.unrecordedCompletions.set(task)
         job.pending.clear(task)
         job.inDoubt.clear(task)
-        waitingWork.touch(job)
+        waitingWork.markChanged(job)
     }
 
-    /** Stops the attempt: what was only booked has never been sent, so it is free at once; the rest is halted. */
+    /**
+     * Stops [attempt]. One that is only booked has never been sent to its machine, so it is released and requeued
+     * immediately; any other is halted by a command.
+     */
     fun stop(attempt: Attempt) {
         if (attempt.phase == AttemptPhase.BOOKED) releaseAndRequeue(attempt) else attempt.requestStop()
     }
@@ -83,13 +97,15 @@
         requeue(attempt)
     }
 
-    /** Nothing of what was on [machine] is there any more. */
+    /** Releases and requeues all attempts on [machine], none of which exists there any more. */
     fun releaseAll(machine: Machine) {
         for (attempt in machine.attempts.values.toList()) releaseAndRequeue(attempt)
     }
 
     private companion object {
-        /** The lower bits of an attempt's id count the attempts of one leadership; the fencing token is above them. */
+        /**
+         * The lower bits of an attempt's id count the attempts of one leadership; the upper bits are the fencing token.
+         */
         const val SEQUENCE_BITS = 24
     }
 }
--- a/src/main/kotlin/io/otterknot/partition/CommandIssuer.kt
+++ b/src/main/kotlin/io/otterknot/partition/CommandIssuer.kt
@@ -5,7 +5,7 @@
 import io.otterknot.scheduling.Machine
 import io.otterknot.wire.HeartbeatCommand
 
-/** Adds to the response to a heartbeat the starts and halts that are due on its machine. */
+/** Adds the start and halt commands that are due on a machine to the response to its heartbeat. */
 class CommandIssuer {
     fun issueDue(machine: Machine, now: Long, commands: MutableList<HeartbeatCommand>) {
         for (attempt in machine.attempts.values) {
@@ -25,22 +25,28 @@
         return HeartbeatCommand.start(attempt.name, attempt.id)
     }
 
-    /** Repeated until the attempt has exited; null: it saves a checkpoint, which a second halt would cut short. */
+    /**
+     * Returns the halt command, which is repeated until the attempt has exited, or null while it saves a checkpoint,
+     * which a second halt command would abort.
+     */
     private fun halt(attempt: Attempt, now: Long): HeartbeatCommand? {
         val spec = attempt.job.spec
-        if (spec.checkpointS <= 0 || attempt.job.finished) return haltAtOnce(attempt)
+        if (spec.checkpointS <= 0 || attempt.job.finished) return haltImmediately(attempt)
         val savingSince = attempt.savingSinceMs ?: return HeartbeatCommand.halt(attempt.name, attempt.id, spec.saveS)
-        val maxSaveMs = spec.saveS * MS_PER_S * MAX_SAVE_TIMES_STATED + SAVE_MARGIN_MS
-        return if (now - savingSince > maxSaveMs) haltAtOnce(attempt) else null
+        val maxSaveMs = spec.saveS * MS_PER_S * MAX_SAVE_TIME_FACTOR + SAVE_MARGIN_MS
+        return if (now - savingSince > maxSaveMs) haltImmediately(attempt) else null
     }
 
-    private fun haltAtOnce(attempt: Attempt) = HeartbeatCommand.halt(attempt.name, attempt.id, 0.0)
+    private fun haltImmediately(attempt: Attempt) = HeartbeatCommand.halt(attempt.name, attempt.id, 0.0)
 
     private companion object {
         const val MS_PER_S = 1000
 
-        /** A task that saves for longer than so many times what its user states, and the margin, is halted at once. */
-        const val MAX_SAVE_TIMES_STATED = 2
+        /**
+         * An attempt that has been saving a checkpoint for longer than this multiple of the time that its user states,
+         * plus [SAVE_MARGIN_MS], is halted immediately.
+         */
+        const val MAX_SAVE_TIME_FACTOR = 2
         const val SAVE_MARGIN_MS = 5_000
     }
 }
--- a/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
@@ -8,7 +8,7 @@
 import io.otterknot.wire.TaskStatus
 import org.slf4j.LoggerFactory
 
-/** Applies what heartbeats show of tasks that have exited. */
+/** Applies the exits of attempts that heartbeats report. */
 class ExitReconciler(
     private val zone: String,
     private val attempts: AttemptLedger,
@@ -16,8 +16,10 @@
 ) {
     private val log = LoggerFactory.getLogger(ExitReconciler::class.java)
 
-    /** [attempt], which is booked here, has exited; the command to respond with, or null: none yet. */
-    fun booked(attempt: Attempt, status: TaskStatus, now: Long): HeartbeatCommand? {
+    /**
+     * Applies the exit of [attempt], which is booked here. Returns the command to respond with, or null if none is due.
+     */
+    fun handle(attempt: Attempt, status: TaskStatus, now: Long): HeartbeatCommand? {
         attempts.release(attempt)
         if (status.cause == ExitCause.DONE) {
             val command = complete(attempt.machine, attempt.job, attempt.task, status)
@@ -33,14 +35,20 @@
         return forget(status)
     }
 
-    /** A task of [job] that is not booked here has exited; the command to respond with, or null: none yet. */
-    fun unbooked(machine: Machine, job: PartitionJob, task: Int, status: TaskStatus): HeartbeatCommand? {
+    /**
+     * Applies the exit of an attempt at [task] of [job] that is not booked here. Returns the command to respond with,
+     * or null if none is due.
+     */
+    fun handle(machine: Machine, job: PartitionJob, task: Int, status: TaskStatus): HeartbeatCommand? {
         if (status.cause == ExitCause.DONE) return complete(machine, job, task, status)
         if (job.isUnassigned(task) && !job.inDoubt.get(task)) attempts.requeue(job, task)
         return forget(status)
     }
 
-    /** Null until the completion is durable: until then the machine's heartbeats are the only trace of it. */
+    /**
+     * Applies a completion. Returns null until it is durable, and a forget command from then on: until then the
+     * machine's heartbeats are the only record of it.
+     */
     private fun complete(machine: Machine, job: PartitionJob, task: Int, status: TaskStatus): HeartbeatCommand? {
         machine.attemptCompleted()
         if (job.job.completedTasks.get(task)) return forget(status)
@@ -58,8 +66,9 @@
     }
 
     /**
-     * A machine is faulty if several jobs fail on it, or if one that completes elsewhere does so again and again. A job
-     * that fails everywhere says nothing of machines, but must not keep them all busy.
+     * Whether [machine] is faulty: attempts on it fail several times in a row, and either several jobs fail on it or
+     * [job] has completed tasks. A job that fails on every machine is no evidence against a machine; its retries are
+     * delayed, so that it does not keep all machines busy.
      */
     private fun isFaulty(machine: Machine, job: PartitionJob): Boolean {
         if (machine.consecutiveFailures < MIN_FAILURES_OF_FAULTY_MACHINE) return false
@@ -71,7 +80,7 @@
 
     private fun logUnexpectedExit(machine: Machine, status: TaskStatus) {
         log.warn(
-            "partition={} machine={} task={} cause={} attempt exited unexpectedly, its task is requeued",
+            "partition={} machine={} task={} cause={} attempt exited unexpectedly, task requeued",
             zone,
             machine.id,
             status.task,
@@ -80,7 +89,7 @@
     }
 
     private companion object {
-        /** In a row, without a completion in between. */
+        /** Consecutive failures, without a completion in between. */
         const val MIN_FAILURES_OF_FAULTY_MACHINE = 3
         const val MIN_FAILED_JOBS_OF_FAULTY_MACHINE = 2
         const val MAX_FAILURES_WITHOUT_DELAY = 3
--- a/src/main/kotlin/io/otterknot/partition/FailoverReconciliation.kt
+++ b/src/main/kotlin/io/otterknot/partition/FailoverReconciliation.kt
@@ -4,48 +4,52 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Finds out, after an acquisition of leadership, what an earlier leader may have left running. A machine counts as
- * known only once a heartbeat shows this leader's fencing token, since no command of an earlier leader can reach it
- * from then on. A task that an earlier leader may have started is in doubt, and starts nowhere, until every machine
- * that could hold it is known, gone, or past its lease.
+ * Determines, after an acquisition of leadership, which attempts of an earlier leader are still running. A machine is
+ * reconciled once a heartbeat shows this leader's fencing token, since no command of an earlier leader can reach it
+ * from then on. A task that an earlier leader may have started is unreconciled, and is not started, until every machine
+ * that could hold it is reconciled, released, or past its lease.
  */
 class FailoverReconciliation(
     private val term: LeadershipTerm,
     private val leases: LeaseTimings,
     private val unreconciled: MachineSet,
-    private val machines: MachineBook,
-    private val jobs: JobBook,
+    private val machines: PartitionMachines,
+    private val jobs: PartitionJobs,
 ) {
     private val log = LoggerFactory.getLogger(FailoverReconciliation::class.java)
 
-    /** No task is in doubt any more. */
+    /** Whether reconciliation is complete: no task is unreconciled any more. */
     var isComplete = false
         private set
 
-    /** When the partition was acquired, while that leaves tasks in doubt; null: none is. */
+    /** When the partition was acquired, or null if reconciliation is complete. */
     val acquiredMsWhileInDoubt: Long? get() = if (isComplete) null else term.acquiredMs
 
     /**
-     * Whether another leader would soon complete its reconciliation. While an earlier one may still act, it would have
-     * to wait for that one's end before time settles what a single dead machine leaves in doubt.
+     * Whether leadership may be transferred: another leader would soon complete its own reconciliation. While an
+     * earlier leader may still act, the new one would have to wait until that is over before the leases of unresponsive
+     * machines count as expired, so that a single dead machine would delay its unreconciled tasks.
      */
     fun mayTransferLeadership(now: Long): Boolean = isComplete && now > term.priorLeaderUntilMs
 
-    /** The types of machines that an earlier leader had registered and that have not reported yet. */
+    /** The types of the machines that an earlier leader registered and that have not reported to this leader yet. */
     fun unreportedMachineTypes(): List<String> =
         if (isComplete) emptyList() else unreconciled.filter { machines[it] == null }.values.toList()
 
-    /** A heartbeat of [machine] shows this leader's fencing token, and what it reports is booked. */
+    /**
+     * Marks [machine] as reconciled: a heartbeat shows this leader's fencing token, and the attempts in it are booked.
+     */
     fun machineReconciled(machine: Machine, now: Long) {
-        if (unreconciled.remove(machine.id)) completeIfSettled(now)
+        if (unreconciled.remove(machine.id)) completeIfReconciled(now)
     }
 
     /**
-     * A heartbeat does not show this leader's fencing token yet: a response of an earlier leader could still reach
-     * [machine]. Our response may prolong the lease of what it holds from that leader, so the doubt is counted from
-     * this heartbeat; but no response to a heartbeat that came long after the acquisition can, since that lease has
-     * expired and a worker drops late responses. Without this end, a machine that no response reaches would keep a
-     * partition in doubt for ever.
+     * Handles a heartbeat that shows an earlier leader's fencing token: a response of that leader could still reach
+     * [machine]. This leader's response may renew the lease for the attempts that the machine holds from the earlier
+     * leader, so the lease is counted from this heartbeat. A response to a heartbeat that arrived long after the
+     * acquisition cannot renew it, since the lease has expired by then and a worker drops late responses; the
+     * machine no longer counts as unreconciled then. Without this limit, a machine that no response reaches would
+     * prevent the reconciliation from completing.
      */
     fun priorTokenShown(machine: Machine, now: Long) {
         machine.markUnreconciled()
@@ -56,15 +60,18 @@
         }
     }
 
-    /** Settles by time the machines that have not shown the token, and completes once none is left. */
-    fun completeIfSettled(now: Long) {
+    /**
+     * Removes the unreconciled machines whose leases have certainly expired, and completes the reconciliation if none
+     * is left.
+     */
+    fun completeIfReconciled(now: Long) {
         if (isComplete) return
-        unreconciled.removeIf { isSurelyExpired(it, now) }
+        unreconciled.removeIf { isLeaseExpiryCertain(it, now) }
         if (!unreconciled.isEmpty) return
         isComplete = true
         val taskCount = jobs.resolveDoubts()
         log.info(
-            "partition={} since_acquisition_ms={} tasks={} reconciliation complete, tasks in doubt may start",
+            "partition={} since_acquisition_ms={} tasks={} reconciliation complete, unreconciled tasks made pending",
             term.zone,
             now - term.acquiredMs,
             taskCount,
@@ -72,11 +79,12 @@
     }
 
     /**
-     * A response with the new token renews the lease of a machine that still holds an earlier leader's tasks. If it
-     * then falls silent, its lease expires that much later than those of machines that never reported.
+     * Whether the lease of a machine has certainly expired. A response with the new token renews the lease of a machine
+     * that still holds an earlier leader's tasks: if the machine then becomes unresponsive, its lease expires later
+     * than the leases of machines that never reported to this leader.
      */
-    private fun isSurelyExpired(machineId: String, now: Long): Boolean {
+    private fun isLeaseExpiryCertain(machineId: String, now: Long): Boolean {
         val lastRenewalMs = machines[machineId]?.leaseStartMs ?: term.priorLeaderUntilMs
-        return now - maxOf(term.priorLeaderUntilMs, lastRenewalMs) > leases.surelyExpiredAfterMs
+        return now - maxOf(term.priorLeaderUntilMs, lastRenewalMs) > leases.guaranteedExpiryMs
     }
 }
--- a/src/main/kotlin/io/otterknot/partition/HeartbeatDecision.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatDecision.kt
@@ -2,14 +2,14 @@
 
 import io.otterknot.wire.HeartbeatCommand
 
-/** What a partition's leader decides on a heartbeat. */
+/** How a partition's leader responds to a heartbeat. */
 sealed interface HeartbeatDecision {
     /** Respond with the leader's [fencingToken] and these [commands]. */
     data class Answer(val fencingToken: Long, val commands: List<HeartbeatCommand>) : HeartbeatDecision
 
-    /** The worker has seen a higher fencing token: this controller leads the partition no longer. */
+    /** The worker has seen a higher fencing token: this controller no longer leads the partition. */
     data object Superseded : HeartbeatDecision
 
-    /** A delayed or duplicated heartbeat: one at least as new has been applied already. */
+    /** The heartbeat is delayed or duplicated: the same one or a newer one has been applied already. */
     data object Stale : HeartbeatDecision
 }
--- a/src/main/kotlin/io/otterknot/partition/HeartbeatHistory.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatHistory.kt
@@ -3,9 +3,9 @@
 import io.otterknot.wire.Heartbeat
 
 /**
- * The last heartbeat of each machine that was forgotten lately; late copies of heartbeats show less. How many are kept
- * grows with the partition, now of [machineCount] machines: the more it has, the more are released and replaced in the
- * time that a copy may be late.
+ * The epoch and sequence number of the last heartbeat of each recently removed machine, by which delayed copies of
+ * heartbeats are recognized. The capacity grows with the partition, which has [machineCount] machines now: the more
+ * machines it has, the more of them are released and replaced within the time by which a copy may be delayed.
  */
 class HeartbeatHistory(private val machineCount: () -> Int) {
     private class LastHeartbeat(val epoch: Long, val sequence: Long)
@@ -21,10 +21,10 @@
         machines[id] = LastHeartbeat(epoch, sequence)
     }
 
-    /** The machine is gone for good: no heartbeat of it is new. */
-    fun recordGone(id: String) = record(id, Long.MAX_VALUE, Long.MAX_VALUE)
+    /** Records that the machine has been released permanently: no heartbeat of it is newer. */
+    fun recordReleased(id: String) = record(id, Long.MAX_VALUE, Long.MAX_VALUE)
 
-    /** Whether [heartbeat] is newer than the last one recorded of its machine, if any. */
+    /** Whether [heartbeat] is newer than the last recorded one of its machine; true if none is recorded. */
     fun isNewer(heartbeat: Heartbeat): Boolean =
         machines[heartbeat.machine]?.let { heartbeat.isNewerThan(it.epoch, it.sequence) } ?: true
 
--- a/src/main/kotlin/io/otterknot/partition/HeartbeatProcessor.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatProcessor.kt
@@ -8,52 +8,55 @@
 import io.otterknot.wire.TaskState
 
 /**
- * Applies heartbeats to a partition and decides on the responses. Commands go out only in the response to a heartbeat
+ * Applies heartbeats to a partition and decides on the responses. Commands are sent only in the response to a heartbeat
  * that shows this leader's fencing token: a worker has one heartbeat in flight and drops late responses, so its next
- * heartbeat shows what came of them.
+ * heartbeat shows whether the commands were executed.
  */
 class HeartbeatProcessor(
     private val term: LeadershipTerm,
     private val leases: LeaseTimings,
     private val machineTypes: (name: String) -> MachineType?,
-    private val books: PartitionBooks,
+    private val state: PartitionState,
     private val reconciliation: FailoverReconciliation,
     private val reconciler: HeartbeatReconciler,
     private val scheduler: Scheduler,
 ) {
-    private val machines = books.machines
+    private val machines = state.machines
     private val commandIssuer = CommandIssuer()
 
     fun process(heartbeat: Heartbeat, now: Long): HeartbeatDecision {
         if (heartbeat.fencingToken > term.fencingToken) return HeartbeatDecision.Superseded
-        val type = machineTypes(heartbeat.type) ?: return answer(emptyList())
+        val type = machineTypes(heartbeat.type) ?: return respond(emptyList())
         val known = machines[heartbeat.machine]
         if (!machines.isNewer(heartbeat, known)) return HeartbeatDecision.Stale
         val machine = known ?: machines.add(heartbeat, type, now)
         if (heartbeat.epoch > machine.epoch) startEpoch(machine, heartbeat.epoch, isKnown = known != null, now)
         machine.heartbeatReceived(heartbeat.sequence, now)
-        books.health.forget(machine.id)
+        state.health.forget(machine.id)
         if (heartbeat.fencingToken < term.fencingToken) {
-            // This leader has responded to a known machine before, and the token was in that response.
+            // The earlier response to a known machine contained the token, so that response was lost.
             if (known != null) machine.responsesLost(1)
             reconciliation.priorTokenShown(machine, now)
-            return answer(emptyList())
+            return respond(emptyList())
         }
-        return answer(applyReconciled(machine, heartbeat, now))
+        return respond(applyReconciled(machine, heartbeat, now))
     }
 
-    private fun answer(commands: List<HeartbeatCommand>) = HeartbeatDecision.Answer(term.fencingToken, commands)
+    private fun respond(commands: List<HeartbeatCommand>) = HeartbeatDecision.Answer(term.fencingToken, commands)
 
-    /** The worker has killed and forgotten everything of its earlier epochs. */
+    /** Applies a new epoch of [machine]: its worker has killed and forgotten all attempts of earlier epochs. */
     private fun startEpoch(machine: Machine, epoch: Long, isKnown: Boolean, now: Long) {
-        // Its lease expired although its heartbeats arrived all the while: the responses to them did not.
+        // The lease expired although heartbeats kept arriving, so the responses to them were lost.
         val hasKeptReporting = now - machine.lastHeartbeatMs < leases.leaseMs / 2
-        if (isKnown && hasKeptReporting) machine.responsesLost(LOST_BY_LEASE_EXPIRY)
-        books.attempts.releaseAll(machine)
+        if (isKnown && hasKeptReporting) machine.responsesLost(LOST_RESPONSES_PER_LEASE_EXPIRY)
+        state.attempts.releaseAll(machine)
         machine.epochStarted(epoch)
     }
 
-    /** The heartbeat shows this leader's token, so no command of an earlier leader can reach the machine any more. */
+    /**
+     * Applies a heartbeat that shows this leader's fencing token, so that no command of an earlier leader can reach
+     * [machine] any more. Returns the commands to respond with.
+     */
     private fun applyReconciled(machine: Machine, heartbeat: Heartbeat, now: Long): List<HeartbeatCommand> {
         machine.leaseMayStart(now)
         machine.reconcile()
@@ -77,7 +80,7 @@
         val hasUnknownTasks = heartbeat.tasks.any {
             it.state != TaskState.EXITED && !machine.attempts.containsKey(it.attempt)
         }
-        val withUnknownTasks = books.unknownUsage.withUnknownTasks
+        val withUnknownTasks = state.unknownUsage.withUnknownTasks
         if (hasUnknownTasks) {
             withUnknownTasks.add(machine.id, machine.type.name)
         } else {
@@ -86,7 +89,7 @@
         machine.updateUnknownTasks(hasUnknownTasks)
     }
 
-    /** Tries with a single task whether responses reach a machine that seems to lose them. */
+    /** Places a single task on a machine that seems to lose responses, to find out whether responses reach it. */
     private fun probe(machine: Machine, now: Long) {
         val isIdle = machine.attempts.isEmpty() && machine.reconciled && machine.registered && machine.inService
         if (!isIdle || now - machine.lastProbeMs < MIN_PROBE_INTERVAL_MS) return
@@ -97,7 +100,7 @@
     private companion object {
         const val MIN_PROBE_INTERVAL_MS = 3_000L
 
-        /** How many lost responses a lease that expired in spite of heartbeats counts for. */
-        const val LOST_BY_LEASE_EXPIRY = 2
+        /** How many lost responses are counted when a lease has expired although heartbeats kept arriving. */
+        const val LOST_RESPONSES_PER_LEASE_EXPIRY = 2
     }
 }
--- a/src/main/kotlin/io/otterknot/partition/HeartbeatReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/HeartbeatReconciler.kt
@@ -11,19 +11,21 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Brings what is booked on a machine in line with what its heartbeat shows. A heartbeat shows what came of the commands
- * in the response before, since a worker has one heartbeat in flight and drops late responses.
+ * Reconciles the attempts booked on a machine with those in its heartbeat. A heartbeat shows whether the commands of
+ * the previous response were executed, since a worker has one heartbeat in flight and drops late responses.
  */
 class HeartbeatReconciler(
     private val zone: String,
     private val attempts: AttemptLedger,
-    private val jobs: JobBook,
+    private val jobs: PartitionJobs,
     private val exits: ExitReconciler,
     private val fetchTimes: FetchTimes,
 ) {
     private val log = LoggerFactory.getLogger(HeartbeatReconciler::class.java)
 
-    /** Applies what a heartbeat shows of one task; the command to respond with, or null: none is needed. */
+    /**
+     * Applies the status of one task in a heartbeat. Returns the command to respond with, or null if none is needed.
+     */
     fun reconcile(machine: Machine, status: TaskStatus, now: Long): HeartbeatCommand? {
         val booked = machine.attempts.get(status.attempt)
         if (booked != null && booked.phase == AttemptPhase.SENT) machine.clearLostResponses()
@@ -32,7 +34,7 @@
         val hasExited = status.state == TaskState.EXITED
         if (job == null || (job.finished && hasExited)) return endUnwanted(booked, status)
         if (hasExited) {
-            return if (booked != null) exits.booked(booked, status, now) else exits.unbooked(machine, job, task, status)
+            return if (booked != null) exits.handle(booked, status, now) else exits.handle(machine, job, task, status)
         }
         val attempt = booked ?: adopt(machine, job, task, status, now) ?: return halt(status)
         attempt.shownBy(machine.lastSequence)
@@ -40,7 +42,7 @@
         return null
     }
 
-    /** The job has ended, or its task does not belong to this partition. */
+    /** Ends an attempt whose job has ended or has no task in this partition. Returns a forget or a halt command. */
     private fun endUnwanted(booked: Attempt?, status: TaskStatus): HeartbeatCommand {
         if (booked != null) attempts.release(booked)
         val hasExited = status.state == TaskState.EXITED
@@ -49,13 +51,13 @@
 
     private fun halt(status: TaskStatus) = HeartbeatCommand.halt(status.task, status.attempt, 0.0)
 
-    /** Books what an earlier leader started; null: the task may not run here. */
+    /** Books an attempt that an earlier leader started, or returns null if the task may not run here. */
     private fun adopt(machine: Machine, job: PartitionJob, task: Int, status: TaskStatus, now: Long): Attempt? {
-        // A late heartbeat may show a task that was requeued here long ago and is being reassigned to another
-        // partition: adopted, it would run in both.
+        // A late heartbeat may show a task that has been requeued here since and is being reassigned to another
+        // partition: if it were adopted, it would run in both partitions.
         if (job.isUnassigned(task)) return attempts.adopt(machine, job, task, status.attempt, now)
         log.warn(
-            "partition={} machine={} task={} attempt={} attempt rejected, its task is not free to run here",
+            "partition={} machine={} task={} attempt={} attempt rejected, task may not run in this partition",
             zone,
             machine.id,
             status.task,
@@ -78,8 +80,8 @@
     }
 
     /**
-     * Requeues what was sent in the response to an earlier heartbeat and is not shown: the worker dropped that
-     * response, and always will.
+     * Requeues the tasks of attempts that were sent in the response to an earlier heartbeat and that the current one
+     * does not show: the worker has not received that response, or drops it as late.
      */
     fun requeueUnshown(machine: Machine) {
         if (machine.attempts.isEmpty()) return
@@ -94,8 +96,9 @@
     }
 
     /**
-     * The cloud takes the spot instance in [noticeS] seconds. What cannot end before that begins elsewhere at once:
-     * waiting for its loss would cost it the time of the notice besides, and a deadline leaves little more than that.
+     * Stops the attempts on a spot instance that are not expected to end before the cloud revokes it in [noticeS]
+     * seconds, so that they are restarted elsewhere immediately. Waiting for the loss of the machine would delay them
+     * by the notice time as well, and a deadline leaves little more than that.
      */
     fun stopBeforeRevocation(machine: Machine, noticeS: Double, now: Long) {
         for (attempt in machine.attempts.values.toList()) {
--- a/src/main/kotlin/io/otterknot/partition/LeaseTimings.kt
+++ b/src/main/kotlin/io/otterknot/partition/LeaseTimings.kt
@@ -1,21 +1,24 @@
 package io.otterknot.partition
 
 /**
- * How long a worker's lease may last as its leader sees it, in milliseconds.
+ * Upper bounds of the duration of a worker's lease by its leader's clock, in milliseconds.
  *
- * @property leaseMs the lease that the workers' settings give.
- * @property safetyMarginMs added for the measuring of time and for delays within a process.
- * @property maxResponseDelayMs how long after a heartbeat was sent a worker may still accept the response to it.
+ * @property leaseMs the lease duration in the workers' settings.
+ * @property safetyMarginMs allows for errors in measuring time and for delays within a process.
+ * @property maxResponseDelayMs how long after sending a heartbeat a worker may still accept the response to it.
  */
 class LeaseTimings(val leaseMs: Long, val safetyMarginMs: Long = 700, val maxResponseDelayMs: Long = 4_000) {
-    /** After this long a lease has expired by any clock that keeps to the protocol's bound on drift. */
-    val surelyExpiredAfterMs: Long get() = leaseMs + leaseMs / MAX_DRIFT_DIVISOR + safetyMarginMs
+    /** The time after which a lease has expired by any clock that keeps to the protocol's bound on drift. */
+    val guaranteedExpiryMs: Long get() = leaseMs + leaseMs / MAX_DRIFT_DIVISOR + safetyMarginMs
 
-    /** No response to a heartbeat that came in this long after an acquisition prolongs a lease from before it. */
-    val noRenewalAfterMs: Long get() = surelyExpiredAfterMs + maxResponseDelayMs
+    /**
+     * A response to a heartbeat that arrives later than this after an acquisition does not renew a lease from before
+     * the acquisition.
+     */
+    val noRenewalAfterMs: Long get() = guaranteedExpiryMs + maxResponseDelayMs
 
     private companion object {
-        /** Clocks drift by at most one part in so many. */
+        /** Clocks drift by at most one part in this many. */
         const val MAX_DRIFT_DIVISOR = 500
     }
 }
--- a/src/main/kotlin/io/otterknot/partition/MachineSet.kt
+++ b/src/main/kotlin/io/otterknot/partition/MachineSet.kt
@@ -8,8 +8,8 @@
     private val typeNames = HashMap(typeNames)
 
     /**
-     * The sum, kept: each waiting job asks for it in each pass, and after a restart of all controllers every machine
-     * of the partition may be in the set. Null: to be added up anew.
+     * The sum, or null if it has to be computed. It is cached since each pending job reads it in each scheduling pass,
+     * and after a restart of all controllers every machine of the partition may be in the set.
      */
     private var cachedCapacity: QuotaAmount? = null
 
@@ -22,7 +22,7 @@
         if (typeNames.put(id, typeName) == null) cachedCapacity = null
     }
 
-    /** Whether the machine was in the set. */
+    /** Removes the machine. Returns whether it was in the set. */
     fun remove(id: String): Boolean {
         val typeName = typeNames.remove(id) ?: return false
         cachedCapacity = cachedCapacity?.minus(capacityOf(typeName) ?: QuotaAmount())
@@ -36,7 +36,7 @@
     /** The ids of the machines that satisfy [predicate], with the names of their types. */
     fun filter(predicate: (id: String) -> Boolean): Map<String, String> = typeNames.filterKeys(predicate)
 
-    /** What the machines have together; null: the type of one of them is not known. */
+    /** The total capacity of the machines, or null if the type of one of them is unknown. */
     fun capacity(): QuotaAmount? = cachedCapacity ?: sum().also { cachedCapacity = it }
 
     private fun sum(): QuotaAmount? {
--- a/src/main/kotlin/io/otterknot/partition/NameIndex.kt
+++ b/src/main/kotlin/io/otterknot/partition/NameIndex.kt
@@ -2,7 +2,7 @@
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
-/** Items by name, and in a list without gaps: when one is removed, the last takes its place. */
+/** Items by name, and in a list without gaps: when an item is removed, the last item takes its position. */
 class NameIndex<T : Any>(private val nameOf: (T) -> String) {
     private val slots = Object2IntOpenHashMap<String>().apply { defaultReturnValue(ABSENT) }
     private val items = ArrayList<T>()
--- a/src/main/kotlin/io/otterknot/partition/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -11,16 +11,17 @@
 import java.util.BitSet
 
 /**
- * The machines of one zone and the tasks that belong to them, as their leader decides on them. It does no I/O and reads
- * no clock: heartbeats and times come in, commands go out. All times are of the leader's steady clock, in milliseconds,
- * and all calls come from the controller's one thread.
+ * The scheduling state of one partition on its leader: the machines of one zone and the tasks that belong to it. It
+ * does no I/O and reads no clock: the caller passes in heartbeats and times, and sends the commands. All times are of
+ * the leader's steady clock, in milliseconds, and all calls come from the controller's single thread.
  *
- * This is a facade; the state is in the books that it opens: [JobBook] (which tasks may start), [MachineBook] (which
- * machines report), [AttemptLedger] (what is booked where) and [TeamQuotaLedger] (what teams use). Safety rests on
- * [HeartbeatProcessor] (commands go out only in responses) and [FailoverReconciliation] (tasks in doubt do not start).
+ * This is a facade; the state is in [PartitionJobs] (which tasks may start), [PartitionMachines] (which machines
+ * report), [AttemptLedger] (which attempts are booked on which machines) and [TeamQuotaLedger] (what the teams use). No
+ * task is started twice because [HeartbeatProcessor] sends commands only in responses and [FailoverReconciliation]
+ * keeps unreconciled tasks from being started.
  *
- * @param machineTypes finds a machine type by its name; null: not known.
- * @param registeredMachines machines that the partition's leaders have registered, by id with their types' names.
+ * @param machineTypes finds a machine type by its name, or returns null if it is unknown.
+ * @param registeredMachines the names of the types of the machines that leaders of the partition registered, by id.
  */
 class Partition(
     private val term: LeadershipTerm,
@@ -34,10 +35,10 @@
     val fencingToken: Long get() = term.fencingToken
     val priorLeaderUntilMs: Long get() = term.priorLeaderUntilMs
 
-    /** What waits, by team; followed only where somebody asks for it. */
+    /** The pending tasks by team; counted only after [WaitingWork.follow] has been called. */
     val waitingWork = WaitingWork(teamQuotas.size)
 
-    /** On how many machines each image is. */
+    /** On how many machines each image is present. */
     val imageCounts = ImageCounts()
     val fetchTimes = FetchTimes()
 
@@ -48,93 +49,98 @@
     private val unknownUsage = UnknownUsage(registeredMachines, machineTypes)
     private val teams = TeamQuotaLedger(teamQuotas, unknownUsage)
     private val attempts = AttemptLedger(fencingToken, teams, waitingWork, trigger)
-    private val jobBook = JobBook(zone, attempts, teams, waitingWork, trigger)
-    private val machineBook = MachineBook(registeredMachines.keys, imageCounts)
-    private val health = MachineHealth(machineBook, unknownUsage.unreconciled)
-    private val books = PartitionBooks(machineBook, attempts, unknownUsage, health)
+    private val partitionJobs = PartitionJobs(zone, attempts, teams, waitingWork, trigger)
+    private val partitionMachines = PartitionMachines(registeredMachines.keys, imageCounts)
+    private val health = MachineHealth(partitionMachines, unknownUsage.unreconciled)
+    private val state = PartitionState(partitionMachines, attempts, unknownUsage, health)
     private val reconciliation =
-        FailoverReconciliation(term, leases, unknownUsage.unreconciled, machineBook, jobBook)
-    private val placement = PartitionPlacement(machineBook, jobBook, attempts, teams)
+        FailoverReconciliation(term, leases, unknownUsage.unreconciled, partitionMachines, partitionJobs)
+    private val placement = PartitionPlacement(partitionMachines, partitionJobs, attempts, teams)
     private val scheduler: Scheduler =
         Scheduler(placement, scheduling.objectives, scheduling.wallTimeOf, scheduling.random)
     private val stragglers = StragglerDetector(zone)
-    private val lifecycle = MachineLifecycle(zone, leases, books, stragglers)
+    private val lifecycle = MachineLifecycle(zone, leases, state, stragglers)
     private val reconciler =
-        HeartbeatReconciler(zone, attempts, jobBook, ExitReconciler(zone, attempts, stragglers), fetchTimes)
+        HeartbeatReconciler(zone, attempts, partitionJobs, ExitReconciler(zone, attempts, stragglers), fetchTimes)
     private val heartbeats =
-        HeartbeatProcessor(term, leases, machineTypes, books, reconciliation, reconciler, scheduler)
+        HeartbeatProcessor(term, leases, machineTypes, state, reconciliation, reconciler, scheduler)
 
     /** Registration, release and health of the machines. */
-    val fleet = PartitionFleet(books, lifecycle, reconciliation, trigger)
+    val fleet = PartitionFleet(state, lifecycle, reconciliation, trigger)
 
     /** Quota shares of the teams. */
-    val quota = PartitionQuota(zone, teams, jobBook, reconciliation, trigger)
+    val quota = PartitionQuota(zone, teams, partitionJobs, reconciliation, trigger)
 
-    /** What the machines and jobs of this partition add up to. */
-    val load = PartitionLoad(machineBook, jobBook, teams)
+    /** Capacity of the machines and demand of the jobs of this partition. */
+    val load = PartitionLoad(partitionMachines, partitionJobs, teams)
 
-    /** Every machine that could hold a task of an earlier leader is known, gone, or past its lease. */
+    /** Whether every machine that could hold a task of an earlier leader is reconciled, released, or past its lease. */
     val reconciled: Boolean get() = reconciliation.isComplete
 
-    /** The names of the teams; their places are the indices that [PartitionJob.team] gives. */
+    /** The names of the teams, at the indices that [PartitionJob.team] refers to. */
     val teamNames: List<String> get() = teams.names
 
-    /** How long tasks that completed here ran, the recent ones counting most; null: none has yet. */
+    /** The mean run time of tasks that completed here, weighted towards recent ones, or null if none has completed. */
     val meanRunMs: Double? get() = stragglers.meanRunMs
 
-    /** The machines that report to this leader, also those whose lease has expired. */
-    val machines: List<Machine> get() = machineBook.all
+    /** The machines that have reported to this leader, including those whose lease has expired. */
+    val machines: List<Machine> get() = partitionMachines.all
 
-    /** Jobs that are ready and not over, and of which tasks belong here. */
-    val jobs: List<PartitionJob> get() = jobBook.all
+    /** Jobs that are ready and have not ended, and that have tasks in this partition. */
+    val jobs: List<PartitionJob> get() = partitionJobs.all
 
-    fun machine(id: String): Machine? = machineBook[id]
+    fun machine(id: String): Machine? = partitionMachines[id]
 
-    fun job(id: String): PartitionJob? = jobBook[id]
+    fun job(id: String): PartitionJob? = partitionJobs[id]
 
-    /** Takes over what the replica now shows of [job]. [inherited]: written before this partition was acquired. */
-    fun updateJob(job: Job, inherited: Boolean) = jobBook.update(job, isInDoubt = inherited && !reconciled)
+    /**
+     * Applies the state of [job] in the store replica. [inherited] means that the state was written before this
+     * partition was acquired.
+     */
+    fun updateJob(job: Job, inherited: Boolean) = partitionJobs.update(job, isInDoubt = inherited && !reconciled)
 
-    /** Completions of [job] have become durable. */
-    fun applyCompletions(job: Job) = jobBook.applyCompletions(job)
+    /** Applies the completions of [job] that have become durable. */
+    fun applyCompletions(job: Job) = partitionJobs.applyCompletions(job)
 
-    /** See [JobBook.reserveForReassignment]. */
-    fun reserveForReassignment(job: PartitionJob, cores: Double): BitSet = jobBook.reserveForReassignment(job, cores)
+    /** See [PartitionJobs.reserveForReassignment]. */
+    fun reserveForReassignment(job: PartitionJob, cores: Double): BitSet =
+        partitionJobs.reserveForReassignment(job, cores)
 
-    /** See [JobBook.completeReassignment]. */
-    fun completeReassignment(job: PartitionJob, tasks: BitSet) = jobBook.completeReassignment(job, tasks)
+    /** See [PartitionJobs.completeReassignment]. */
+    fun completeReassignment(job: PartitionJob, tasks: BitSet) = partitionJobs.completeReassignment(job, tasks)
 
-    /** How many tasks of the job are seen to run here. */
-    fun runningTasks(jobId: String): Int = jobBook.runningTasks(jobId)
+    /** How many tasks of the job run here according to heartbeats. */
+    fun runningTasks(jobId: String): Int = partitionJobs.runningTasks(jobId)
 
-    /** Applies a worker's heartbeat; the decision says what to respond. */
+    /** Applies a worker's heartbeat and returns how to respond. */
     fun applyHeartbeat(heartbeat: Heartbeat, now: Long): HeartbeatDecision = heartbeats.process(heartbeat, now)
 
     /**
-     * Expires leases, stops stragglers, ends doubts that time has settled, and places what waits. [isLeaderSlow]: this
-     * controller responds too late for the workers, and no machine is to blame for responses that are lost.
+     * Expires leases, stops stragglers, completes the reconciliation if the leases of all unreconciled machines have
+     * expired, and places pending tasks. [isLeaderSlow] means that this controller responds too late for the workers,
+     * so that lost responses are not attributed to any machine.
      */
     fun sweep(now: Long, isLeaderSlow: Boolean = false) {
         lifecycle.check(now, isLeaderSlow)
-        reconciliation.completeIfSettled(now)
+        reconciliation.completeIfReconciled(now)
         scheduler.placeAll(now)
     }
 
     /** See [FailoverReconciliation.mayTransferLeadership]. */
     fun mayTransferLeadership(now: Long): Boolean = reconciliation.mayTransferLeadership(now)
 
-    /** Jobs with waiting tasks, the most urgent first. */
+    /** Jobs with pending tasks, the most urgent first. */
     fun pendingJobsInOrder(now: Long): List<PartitionJob> = scheduler.queue.sorted(jobs, now)
 
-    /** How many more tasks of the job its team's quota share and its own spread allow here now. */
+    /** How many more tasks of the job may start here now by its team's quota share and its own spread over zones. */
     fun startableTasks(job: PartitionJob): Int = placement.startableTasks(job)
 
-    /** Stops [attempt] so that its task is placed anew; see [AttemptLedger.stop]. */
+    /** Stops [attempt] so that its task is placed again; see [AttemptLedger.stop]. */
     fun stopForMove(attempt: Attempt) = attempts.stop(attempt)
 
     /**
-     * Sets which jobs are within their team's guaranteed quota: they are placed before others, whatever their priority
-     * with [beforeAll], and are not stopped for work that is not.
+     * Sets which jobs are within their team's guaranteed quota. They are placed before other jobs, with [beforeAll]
+     * even before those of a higher priority, and are not preempted for jobs outside their guaranteed quota.
      */
     fun markCovered(now: Long, beforeAll: Boolean, isCovered: (PartitionJob) -> Boolean) {
         var hasChanged = scheduler.queue.coveredBeforeAll != beforeAll
--- a/src/main/kotlin/io/otterknot/partition/PartitionFleet.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionFleet.kt
@@ -4,23 +4,23 @@
 
 /** The machines of a partition as registration in the store and autoscaling see them. */
 class PartitionFleet(
-    private val books: PartitionBooks,
+    private val state: PartitionState,
     private val lifecycle: MachineLifecycle,
     private val reconciliation: FailoverReconciliation,
     private val trigger: PlacementTrigger,
 ) {
-    /** Registered machines that the cloud has released; their ids are never used again, so their keys may go too. */
-    val released: Set<String> get() = books.machines.released
+    /** Registered machines that the cloud has released; their ids are never reused, so their keys may be deleted. */
+    val released: Set<String> get() = state.machines.released
 
-    /** Takes over which machines are registered now. */
+    /** Sets which machines are registered. */
     fun updateRegistered(ids: Set<String>) {
-        if (books.machines.updateRegistered(ids)) trigger.requestFullPass()
+        if (state.machines.updateRegistered(ids)) trigger.requestFullPass()
     }
 
-    /** Machines that report here and must be registered before they may get a task. */
-    fun unregistered(): List<Machine> = books.machines.unregistered()
+    /** Machines that report here and must be registered before a task may be placed on them. */
+    fun unregistered(): List<Machine> = state.machines.unregistered()
 
-    /** The types of machines that an earlier leader had registered and that have not reported yet. */
+    /** The types of the machines that an earlier leader registered and that have not reported to this leader yet. */
     fun unreportedTypes(): List<String> = reconciliation.unreportedMachineTypes()
 
     /** See [MachineLifecycle.release]. */
@@ -29,10 +29,13 @@
     /** See [MachineLifecycle.forget]. */
     fun forget(id: String) = lifecycle.forget(id)
 
-    /** Machines to be released: silent for [timeoutMs] while others report, they hold up tasks or reconciliation. */
+    /**
+     * Machines to be released because they have not reported for [timeoutMs] while others have, and block tasks or
+     * reconciliation; see [MachineHealth.unresponsive].
+     */
     fun unresponsive(now: Long, timeoutMs: Long): List<String> =
-        books.health.unresponsive(now, timeoutMs, reconciliation.acquiredMsWhileInDoubt)
+        state.health.unresponsive(now, timeoutMs, reconciliation.acquiredMsWhileInDoubt)
 
-    /** Machines to be released: they report, but the responses to them are lost again and again. */
-    fun losingResponses(): List<String> = books.health.losingResponses()
+    /** Machines to be released because the responses to their heartbeats are lost repeatedly. */
+    fun losingResponses(): List<String> = state.health.losingResponses()
 }
--- a/src/main/kotlin/io/otterknot/partition/JobBook.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionJobs.kt
@@ -6,11 +6,8 @@
 import io.otterknot.scheduling.PartitionJob
 import java.util.BitSet
 
-/**
- * The jobs of which tasks belong to a partition, as the replica of the store shows them, and which of these tasks may
- * start here.
- */
-class JobBook(
+/** The jobs that have tasks in a partition, according to the store replica, and which of these tasks may start. */
+class PartitionJobs(
     private val zone: String,
     private val attempts: AttemptLedger,
     private val teams: TeamQuotaLedger,
@@ -24,8 +21,8 @@
     operator fun get(id: String): PartitionJob? = byId[id]
 
     /**
-     * Takes over what the replica now shows of [job]. With [isInDoubt], an earlier leader may have started the tasks
-     * that are new here: they wait until reconciliation is complete.
+     * Applies the state of [job] in the store replica. With [isInDoubt], an earlier leader may have started the tasks
+     * that are new in this partition: they are not started until reconciliation is complete.
      */
     fun update(job: Job, isInDoubt: Boolean) {
         val record = job.record ?: return
@@ -33,14 +30,14 @@
             get(job.id)?.let(::drop)
             return
         }
-        // Until all that it depends on is done, it is in no queue here and uses nothing.
+        // A job whose dependencies have not all completed is not queued and uses no resources.
         if (!job.isReady) return
         val partitionJob = get(job.id) ?: add(job, record) ?: return
         if (partitionJob.applyInheritedPriority()) trigger.requestFullPass()
         updateOwnedTasks(partitionJob, record, isInDoubt)
     }
 
-    /** Null: none of the job's tasks belongs to this partition. */
+    /** Adds [job], or returns null if it has no tasks in this partition. */
     private fun add(job: Job, record: JobRecord): PartitionJob? {
         val spec = record.spec ?: return null
         if (record.spans.none { it.zone == zone }) return null
@@ -63,23 +60,26 @@
         partitionJob.pending.andNot(removed)
         partitionJob.inDoubt.andNot(removed)
         partitionJob.beingReassigned.andNot(removed)
-        waitingWork.touch(partitionJob)
+        waitingWork.markChanged(partitionJob)
         if (!added.isEmpty) trigger.requestFullPass()
     }
 
-    /** The job has ended: nothing of it starts any more, and what runs is stopped. */
+    /** Removes [job], which has ended: none of its tasks is started any more, and its attempts are stopped. */
     private fun drop(job: PartitionJob) {
         job.finish()
-        waitingWork.touch(job)
+        waitingWork.markChanged(job)
         byId.remove(job.id)
         trigger.requestReordering()
         for (attempt in job.active.values.toList()) {
-            // What was only booked has never been sent, so its room is free at once.
+            // An attempt that is only booked has never been sent, so its resources are released immediately.
             if (attempt.phase == AttemptPhase.BOOKED) attempts.release(attempt) else attempt.requestStop()
         }
     }
 
-    /** Reserves pending tasks of [job], the last ones first, for another partition: at most as many as fill [cores]. */
+    /**
+     * Reserves pending tasks of [job], the last ones first, for reassignment to another partition: at most as many as
+     * fit into [cores].
+     */
     fun reserveForReassignment(job: PartitionJob, cores: Double): BitSet {
         val taskCores = job.spec.cores
         var remaining = job.pendingCount
@@ -93,11 +93,14 @@
         }
         job.pending.andNot(reserved)
         job.beingReassigned.or(reserved)
-        waitingWork.touch(job)
+        waitingWork.markChanged(job)
         return reserved
     }
 
-    /** The transaction that reassigns [tasks] has an outcome: what still belongs to this partition is pending again. */
+    /**
+     * Ends the reservation of [tasks] once the outcome of the transaction that reassigns them is known: the tasks that
+     * still belong to this partition become pending again.
+     */
     fun completeReassignment(job: PartitionJob, tasks: BitSet) {
         val stillOwned = (tasks.clone() as BitSet).apply {
             and(job.owned)
@@ -106,20 +109,20 @@
         job.beingReassigned.andNot(tasks)
         if (job.finished || stillOwned.isEmpty) return
         job.pending.or(stillOwned)
-        waitingWork.touch(job)
+        waitingWork.markChanged(job)
         trigger.requestFullPass()
     }
 
-    /** Completions of [job] have become durable. */
+    /** Applies the completions of [job] that have become durable. */
     fun applyCompletions(job: Job) {
         val partitionJob = get(job.id) ?: return
         partitionJob.unrecordedCompletions.andNot(job.completedTasks)
         partitionJob.pending.andNot(job.completedTasks)
         partitionJob.inDoubt.andNot(job.completedTasks)
-        waitingWork.touch(partitionJob)
+        waitingWork.markChanged(partitionJob)
     }
 
-    /** No machine can hold a task in doubt any more: all of them are pending now. Returns how many there were. */
+    /** Makes all unreconciled tasks pending, since no machine can hold one any more. Returns how many there were. */
     fun resolveDoubts(): Int {
         var count = 0
         for (job in all) {
@@ -127,13 +130,13 @@
             count += job.inDoubt.cardinality()
             job.pending.or(job.inDoubt)
             job.inDoubt.clear()
-            waitingWork.touch(job)
+            waitingWork.markChanged(job)
         }
         trigger.requestFullPass()
         return count
     }
 
-    /** How many tasks of the job are seen to run here. */
+    /** How many tasks of the job run here according to heartbeats. */
     fun runningTasks(jobId: String): Int = get(jobId)?.active?.values?.count {
         it.phase == AttemptPhase.RUNNING || it.phase == AttemptPhase.SAVING
     } ?: 0
--- a/src/main/kotlin/io/otterknot/partition/PartitionLoad.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionLoad.kt
@@ -4,9 +4,13 @@
 import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 
-/** The capacity of a partition, the demand on it, and its mean load as other controllers read it. */
-class PartitionLoad(private val machines: MachineBook, private val jobs: JobBook, private val teams: TeamQuotaLedger) {
-    /** The cores of the machines in service; so are the other capacities. */
+/** The capacity of a partition, the demand on it, and its mean load, which is published to other controllers. */
+class PartitionLoad(
+    private val machines: PartitionMachines,
+    private val jobs: PartitionJobs,
+    private val teams: TeamQuotaLedger,
+) {
+    /** The cores of the machines in service; the other capacities also count only these machines. */
     val totalCores: Double get() = machines.all.sumOf { if (it.inService) it.type.cores else 0.0 }
 
     val totalResources: Resources
@@ -14,10 +18,12 @@
             if (machine.inService) sum + Resources.of(machine.type) else sum
         }
 
-    /** The cores of the machines that are no spot instances. */
+    /** The cores of the machines that are not spot instances. */
     val ordinaryCores: Double get() = machines.all.sumOf { if (!it.spot && it.inService) it.type.cores else 0.0 }
 
-    /** Cores that the tasks of the jobs which satisfy [predicate] take or wait for, within their teams' quota shares. */
+    /**
+     * Cores of the active and pending tasks of jobs that satisfy [predicate], up to the quota shares of their teams.
+     */
     fun demand(predicate: (JobSpec) -> Boolean): Double {
         val coresByTeam = HashMap<Int, Double>()
         for (job in jobs.all) {
@@ -28,16 +34,16 @@
         return teams.sumWithinQuotaShares { coresByTeam[it] ?: 0.0 }
     }
 
-    /** Cores in use or waited for, by the cores there are; what waits counts too, as it does in the workers' queues. */
+    /** Cores in use or requested by pending tasks, divided by the total cores: pending tasks count as queued work. */
     fun mean(): Double {
         val usedCores = machines.all.sumOf { if (it.leaseExpired) 0.0 else it.usedCores }
         return (usedCores + jobs.all.sumOf { it.pendingCores }) / maxOf(totalCores, 1.0)
     }
 
-    /** The same for ordinary machines and the tasks that may run on no other. */
+    /** The load of ordinary machines by tasks that may not run on spot instances, up to their teams' quota shares. */
     fun ordinaryMean(): Double = demand { !it.spot } / maxOf(ordinaryCores, 1.0)
 
-    /** The booked cores, by the phase of the attempts that hold them. */
+    /** The booked cores, by the phase of the attempts that they are booked for. */
     fun coresByPhase(): Map<AttemptPhase, Double> = machines.all
         .flatMap { it.attempts.values }
         .groupBy { it.phase }
--- a/src/main/kotlin/io/otterknot/partition/MachineBook.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionMachines.kt
@@ -6,29 +6,32 @@
 import io.otterknot.wire.MachineType
 
 /** The machines of a partition that report to its leader, and which machines are registered in the store. */
-class MachineBook(registeredMachines: Set<String>, private val imageCounts: ImageCounts) {
+class PartitionMachines(registeredMachines: Set<String>, private val imageCounts: ImageCounts) {
     private val byId = NameIndex<Machine> { it.id }
     private val registered = HashSet(registeredMachines)
     private val releasedAndRegistered = HashSet<String>()
 
-    /** How far machines that were forgotten had reported: a copy of an older heartbeat must not bring one back. */
-    private val forgotten = HeartbeatHistory { byId.all.size }
+    /**
+     * The last heartbeats of removed machines: a delayed copy of an older heartbeat must not add such a machine again.
+     */
+    private val removed = HeartbeatHistory { byId.all.size }
 
     val all: List<Machine> get() = byId.all
 
-    /** Registered machines that the cloud has released; their ids are never used again, so their keys may go too. */
+    /** Registered machines that the cloud has released; their ids are never reused, so their keys may be deleted. */
     val released: Set<String> get() = releasedAndRegistered
 
     operator fun get(id: String): Machine? = byId[id]
 
     /**
-     * Whether [heartbeat] is newer than all that were applied of its machine, [known] here or forgotten: packets and
-     * copies of them may be delivered late, and only a newer heartbeat says anything.
+     * Whether [heartbeat] is newer than every applied heartbeat of its machine. [known] is the machine, or null if it
+     * has not reported yet or was removed. Packets and copies of them may be delivered late, so older heartbeats are
+     * ignored.
      */
     fun isNewer(heartbeat: Heartbeat, known: Machine?): Boolean = if (known != null) {
         heartbeat.isNewerThan(known.epoch, known.lastSequence)
     } else {
-        forgotten.isNewer(heartbeat)
+        removed.isNewer(heartbeat)
     }
 
     /** Adds the machine that sent its first [heartbeat]. */
@@ -39,22 +42,22 @@
         return machine
     }
 
-    /** Removes a machine that holds no attempt any more; should it report again, it is added anew. */
+    /** Removes a machine that holds no attempts any more; if it reports again, it is added as a new machine. */
     fun remove(machine: Machine) {
-        forgotten.record(machine.id, machine.epoch, machine.lastSequence)
+        removed.record(machine.id, machine.epoch, machine.lastSequence)
         machine.images.keys.forEach(imageCounts::removed)
         byId.remove(machine.id)
     }
 
-    /** The cloud is about to take its id out of use for ever. */
+    /** Records that the cloud has released the machine, if it is registered; see [released]. */
     fun markReleased(id: String) {
         if (id in registered) releasedAndRegistered.add(id)
     }
 
-    /** Whatever heartbeat still shows the machine is a late one. */
-    fun ignoreForever(id: String) = forgotten.recordGone(id)
+    /** Makes every further heartbeat of the released machine count as late. */
+    fun rejectFurtherHeartbeats(id: String) = removed.recordReleased(id)
 
-    /** Takes over which machines are registered now; whether one that reports here has become so. */
+    /** Sets which machines are registered. Returns whether a machine that reports here has become registered. */
     fun updateRegistered(ids: Set<String>): Boolean {
         registered.clear()
         registered.addAll(ids)
@@ -68,6 +71,6 @@
         return hasNew
     }
 
-    /** Machines that report here and must be registered before they may get a task. */
+    /** Machines that report here and must be registered before a task may be placed on them. */
     fun unregistered(): List<Machine> = all.filter { it.reconciled && !it.registered && !it.leaseExpired }
 }
--- a/src/main/kotlin/io/otterknot/partition/PartitionPlacement.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionPlacement.kt
@@ -5,15 +5,15 @@
 import io.otterknot.scheduling.PartitionJob
 import io.otterknot.scheduling.PlacementLedger
 
-/** The books of a partition as its scheduler sees them. */
+/** The state of a partition as its scheduler reads and changes it. */
 class PartitionPlacement(
-    private val machineBook: MachineBook,
-    private val jobBook: JobBook,
+    private val partitionMachines: PartitionMachines,
+    private val partitionJobs: PartitionJobs,
     private val attempts: AttemptLedger,
     private val teams: TeamQuotaLedger,
 ) : PlacementLedger {
-    override val machines: List<Machine> get() = machineBook.all
-    override val jobs: List<PartitionJob> get() = jobBook.all
+    override val machines: List<Machine> get() = partitionMachines.all
+    override val jobs: List<PartitionJob> get() = partitionJobs.all
 
     override fun pressure(team: Int): Double = teams.pressure(team)
 
@@ -28,8 +28,8 @@
     }
 
     /**
-     * How many more tasks a job that is spread across zones may start here. Only this partition's tasks can be in its
-     * zone, so the attempts here and the tasks in doubt are all that count.
+     * How many more tasks of [job] may start here if it is spread across zones. Only tasks of this partition can run in
+     * its zone, so only the attempts here and the unreconciled tasks count.
      */
     private fun startableInZone(job: PartitionJob): Int = if (job.spec.spreadAcrossZones) {
         job.spec.maxTasksPerZone - job.active.size - job.inDoubt.cardinality()
--- a/src/main/kotlin/io/otterknot/partition/PartitionQuota.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionQuota.kt
@@ -3,15 +3,15 @@
 import io.otterknot.records.QuotaAmount
 import io.otterknot.scheduling.Resources
 
-/** The quota shares of teams in the partition of [zone]: their sizes, what is used, and what may be moved elsewhere. */
+/** The quota shares of teams in the partition of [zone]: size, usage, need, and what may be transferred elsewhere. */
 class PartitionQuota(
     private val zone: String,
     private val teams: TeamQuotaLedger,
-    private val jobs: JobBook,
+    private val jobs: PartitionJobs,
     private val reconciliation: FailoverReconciliation,
     private val trigger: PlacementTrigger,
 ) {
-    /** What the booked tasks of the team with this index take here. */
+    /** The resources of the booked tasks of the team with this index. */
     fun usage(team: Int): Resources = teams.usage(team)
 
     fun setShare(team: String, quotaShare: QuotaAmount) {
@@ -21,7 +21,10 @@
     /** See [TeamQuotaLedger.need]. */
     fun need(team: String): QuotaAmount = teams.need(team, jobs.all)
 
-    /** What this partition can give of a team's quota share to the partition of [toZone]; nothing while in doubt. */
+    /**
+     * How much of a team's quota share this partition can transfer to the partition of [toZone]; nothing until
+     * reconciliation is complete.
+     */
     fun spare(team: String, toZone: String): QuotaAmount {
         if (!reconciliation.isComplete) return QuotaAmount()
         return teams.spare(team, jobs.all, toEarlierZone = toZone < zone)
--- a/src/main/kotlin/io/otterknot/partition/PartitionBooks.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionState.kt
@@ -1,8 +1,8 @@
 package io.otterknot.partition
 
-/** The state of a partition that heartbeats and the passing of time change. */
-class PartitionBooks(
-    val machines: MachineBook,
+/** The state of a partition that heartbeats and timeouts change. */
+class PartitionState(
+    val machines: PartitionMachines,
     val attempts: AttemptLedger,
     val unknownUsage: UnknownUsage,
     val health: MachineHealth,
--- a/src/main/kotlin/io/otterknot/partition/PlacementTrigger.kt
+++ b/src/main/kotlin/io/otterknot/partition/PlacementTrigger.kt
@@ -1,10 +1,13 @@
 package io.otterknot.partition
 
-/** How the books of a partition tell the scheduler, which reads them, that they have changed. */
+/** Notifies the scheduler of changes to the partition's state that it reads. */
 interface PlacementTrigger {
-    /** A task has come to wait, or fits where it did not: the next pass looks at all machines. */
+    /**
+     * Requests that the next scheduling pass examines all machines, since a task has become pending or may fit where it
+     * did not fit before.
+     */
     fun requestFullPass()
 
-    /** The queue of jobs has changed, but nothing more can be placed than before. */
+    /** Requests that the queue of jobs is sorted again: it has changed, but no more tasks can be placed than before. */
     fun requestReordering()
 }
--- a/src/main/kotlin/io/otterknot/partition/SchedulingInputs.kt
+++ b/src/main/kotlin/io/otterknot/partition/SchedulingInputs.kt
@@ -4,9 +4,9 @@
 import kotlin.random.Random
 
 /**
- * What placement in a partition depends on besides the partition's own state.
+ * What placement in a partition depends on in addition to the partition's own state.
  *
- * @property wallTimeOf the time of day for a time of the steady clock, both in milliseconds.
+ * @property wallTimeOf converts a time of the steady clock to the time of day, both in milliseconds.
  */
 class SchedulingInputs(
     val objectives: ServiceLevelObjectives,
--- a/src/main/kotlin/io/otterknot/partition/StragglerDetector.kt
+++ b/src/main/kotlin/io/otterknot/partition/StragglerDetector.kt
@@ -6,17 +6,17 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Finds stragglers: tasks that run far longer than others of their job, and machines that run all their tasks far
- * slower than others do. Such a machine is put in quarantine: it is drained and given back.
+ * Detects stragglers, which are tasks that run far longer than others of their job, and machines that run all their
+ * tasks far slower than other machines do. Such a machine is quarantined: it is drained and released.
  */
 class StragglerDetector(private val zone: String) {
     private val log = LoggerFactory.getLogger(StragglerDetector::class.java)
 
-    /** How long tasks that completed here ran, the recent ones counting most; null: none has completed yet. */
+    /** The mean run time of tasks that completed here, weighted towards recent ones, or null if none has completed. */
     var meanRunMs: Double? = null
         private set
 
-    /** [attempt] has completed on [machine]. */
+    /** Records the run time of [attempt], which has completed on [machine]. */
     fun completed(machine: Machine, attempt: Attempt, now: Long) {
         if (!attempt.seenRunning) return
         val runMs = now - attempt.phaseSinceMs
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Stops the stragglers on [machine], so that they are tried elsewhere: each task once at most, since it may be the
-     * task that is long, and sooner where the machine is known to be slow.
+     * Stops the stragglers on [machine], so that they are retried elsewhere. Each task is stopped once at most, since
+     * it may be the task itself that takes long; a lower ratio suffices on a machine that is known to be slow.
      */
     fun stopStragglers(machine: Machine, now: Long) {
         for (attempt in machine.attempts.values) {
@@ -47,7 +47,10 @@
         }
     }
 
-    /** How many times as long as others of its job a straggler has run; null: it is none, or was restarted before. */
+    /**
+     * The run time of [attempt] relative to other tasks of its job, or null if it is not a straggler or was restarted
+     * before.
+     */
     private fun stragglerRatio(attempt: Attempt, now: Long): Double? {
         if (attempt.phase != AttemptPhase.RUNNING || attempt.stopping || !attempt.seenRunning) return null
         val runMs = now - attempt.phaseSinceMs
@@ -61,7 +64,7 @@
         machine.slowness.add(ratio)
         if (!machine.slowness.isSlow || machine.quarantined) return
         log.info(
-            "partition={} machine={} slowness={} machine quarantined, it is drained and released",
+            "partition={} machine={} slowness={} machine quarantined, draining for release",
             zone,
             machine.id,
             machine.slowness,
@@ -70,12 +73,12 @@
     }
 
     private companion object {
-        /** A task that runs so many times as long as others of its job is a straggler. */
+        /** A task that runs at least this many times as long as others of its job is a straggler. */
         const val MIN_RATIO = 4.0
         const val MIN_RATIO_ON_SLOW_MACHINE = 2.0
         const val MIN_RUN_MS = 20_000L
 
-        /** How much the latest run time counts in the mean. */
+        /** The weight of the latest run time in the mean. */
         const val MEAN_WEIGHT = 0.05
     }
 }
--- a/src/main/kotlin/io/otterknot/partition/TeamQuotaLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/TeamQuotaLedger.kt
@@ -8,8 +8,8 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
 /**
- * What each team uses of its quota share in one partition. Teams have dense indices in the order of [teams];
- * -1 stands for one that the settings do not name. All of [unknownUsage] counts as used by every team.
+ * The usage of each team's quota share in one partition. Teams have dense indices in the order of [teams]; -1 stands
+ * for a team that the settings do not name. All of [unknownUsage] counts as used by every team.
  */
 class TeamQuotaLedger(private val teams: List<TeamQuota>, private val unknownUsage: UnknownUsage) {
     private val indexByName = Object2IntOpenHashMap<String>().apply {
@@ -24,10 +24,10 @@
 
     fun index(name: String): Int = indexByName.getInt(name)
 
-    /** Used cores by weight, for fair share: the lower, the sooner the team's jobs are served. */
+    /** Used cores divided by weight, for fair share: jobs of teams with lower values are placed first. */
     fun pressure(team: Int): Double = if (team < 0) 0.0 else usedCores[team] / teams[team].weight
 
-    /** What the tasks of a team that are booked here take. */
+    /** The resources of a team's booked tasks in this partition. */
     fun usage(team: Int): Resources =
         if (team < 0) Resources.NONE else Resources(usedCores[team], usedMemoryGb[team], usedCards[team])
 
@@ -42,7 +42,7 @@
         usedMemoryGb[team] += spec.memoryGb * tasks
     }
 
-    /** False: the settings do not name the team. */
+    /** Sets a team's quota share. Returns false if the settings do not name the team. */
     fun setQuotaShare(name: String, quotaShare: QuotaAmount): Boolean {
         val team = index(name)
         if (team < 0) return false
@@ -51,8 +51,9 @@
     }
 
     /**
-     * What a team may still use, less than nothing if it uses too much. A machine that is not known yet, or that shows
-     * a task not booked here, may be full of its tasks, also of jobs that have ended.
+     * The rest of a team's quota share, negative if the team exceeds it. A machine that is not reconciled yet, or that
+     * reports a task not booked here, may be full of the team's tasks, including tasks of ended jobs, so its whole
+     * capacity counts as used. If that capacity is unknown, nothing remains.
      */
     private fun remaining(team: Int): QuotaAmount {
         val remaining = teams[team].quotaShare - QuotaAmount(usedCores[team], usedCards[team])
@@ -66,41 +67,46 @@
         return maxOf(0, atMost(byCores, remaining.cards, spec.cards))
     }
 
-    private fun atMost(count: Int, available: Double, forEach: Double): Int =
-        if (forEach > 0) minOf(count.toDouble(), (available + Machine.EPSILON) / forEach).toInt() else count
+    private fun atMost(count: Int, available: Double, perTask: Double): Int =
+        if (perTask > 0) minOf(count.toDouble(), (available + Machine.EPSILON) / perTask).toInt() else count
 
-    /** What the waiting tasks of a team need beyond the quota share; nothing while it lets one of each job start. */
+    /**
+     * What the pending tasks of a team need in addition to its quota share; nothing while the share allows one more
+     * task of each job to start.
+     */
     fun need(name: String, jobs: List<PartitionJob>): QuotaAmount {
         val team = index(name)
         if (team < 0) return QuotaAmount()
         val remaining = remaining(team)
-        val waiting = waiting(team, jobs)
-        if (waiting.all { remaining.covers(it.spec) }) return QuotaAmount()
-        return (needed(waiting) - remaining).atLeastZero()
+        val pendingJobs = pendingJobs(team, jobs)
+        if (pendingJobs.all { remaining.covers(it.spec) }) return QuotaAmount()
+        return (needed(pendingJobs) - remaining).atLeastZero()
     }
 
     /**
-     * What can be given away of a team's quota share: what nothing here waits for, or, with [toEarlierZone], what is
-     * too little for any task here; only in one direction, or two partitions would hold half each of what a task needs.
+     * How much of a team's quota share can be transferred to another partition: what exceeds the need of the pending
+     * tasks here, or, with [toEarlierZone], all of the rest if it is too small for any pending task here. The latter
+     * applies in one direction only: otherwise two partitions might each hold half of what a task needs.
      */
     fun spare(name: String, jobs: List<PartitionJob>, toEarlierZone: Boolean): QuotaAmount {
         val team = index(name)
         if (team < 0) return QuotaAmount()
         val remaining = remaining(team)
-        val waiting = waiting(team, jobs)
-        val isUseless = toEarlierZone && waiting.isNotEmpty() && waiting.none { remaining.covers(it.spec) }
-        return (if (isUseless) remaining else remaining - needed(waiting)).atLeastZero()
+        val pendingJobs = pendingJobs(team, jobs)
+        val isInsufficient = toEarlierZone && pendingJobs.isNotEmpty() && pendingJobs.none { remaining.covers(it.spec) }
+        return (if (isInsufficient) remaining else remaining - needed(pendingJobs)).atLeastZero()
     }
 
     /** The sum over the teams of [coresOf], for each at most the cores of its quota share. */
     fun sumWithinQuotaShares(coresOf: (team: Int) -> Double): Double =
         teams.indices.sumOf { minOf(coresOf(it), teams[it].quotaShare.cores) }
 
-    private fun waiting(team: Int, jobs: List<PartitionJob>) = jobs.filter { it.team == team && !it.pending.isEmpty }
+    private fun pendingJobs(team: Int, jobs: List<PartitionJob>) =
+        jobs.filter { it.team == team && !it.pending.isEmpty }
 
-    private fun needed(waiting: List<PartitionJob>) = QuotaAmount(
-        cores = waiting.sumOf { it.pendingCount * it.spec.cores },
-        cards = waiting.sumOf { it.pendingCount * it.spec.cards },
+    private fun needed(pendingJobs: List<PartitionJob>) = QuotaAmount(
+        cores = pendingJobs.sumOf { it.pendingCount * it.spec.cores },
+        cards = pendingJobs.sumOf { it.pendingCount * it.spec.cards },
     )
 
     private fun QuotaAmount.covers(spec: JobSpec) =
--- a/src/main/kotlin/io/otterknot/partition/WaitingWork.kt
+++ b/src/main/kotlin/io/otterknot/partition/WaitingWork.kt
@@ -4,47 +4,51 @@
 import io.otterknot.scheduling.Resources
 import java.util.TreeSet
 
-/** The waiting tasks of one team in a partition. */
+/** The pending tasks of one team in a partition. */
 class TeamWaiting {
-    /** What all of them together ask for. */
+    /** The resources that all of them request in total. */
     var resources = Resources.NONE
         internal set
 
-    /** Jobs with waiting tasks, those that have waited longest first. */
+    /** Jobs with pending tasks, those that have been ready longest first. */
     internal val jobs = TreeSet(compareBy<PartitionJob> { it.readyMs }.thenBy { it.id })
 
-    /** Since when the job that has waited longest could run, by the time of day in milliseconds; null: none waits. */
+    /**
+     * When the job that has been ready longest became so, by the time of day in milliseconds, or null if none is
+     * pending.
+     */
     val oldestReadyMs: Long? get() = jobs.firstOrNull()?.readyMs
 }
 
 /**
- * The waiting tasks of a partition, by team. Whoever changes which tasks of a job wait calls [touch], in constant time;
- * only touched jobs are counted anew, and only when somebody asks. Until [follow] is called nothing is kept.
+ * The pending tasks of a partition, by team. A change to the pending tasks of a job is recorded by [markChanged], in
+ * constant time; only these jobs are recounted, and only when [ofTeam] is called. Nothing is recorded until [follow] is
+ * called.
  */
 class WaitingWork(teamCount: Int) {
     private val byTeam = List(teamCount) { TeamWaiting() }
-    private val touched = LinkedHashSet<PartitionJob>()
+    private val changedJobs = LinkedHashSet<PartitionJob>()
 
-    /** How many waiting tasks of each job are in the sums. */
+    /** How many pending tasks of each job are included in the sums. */
     private val countedTasks = HashMap<PartitionJob, Int>()
 
     private var isFollowed = false
 
-    /** How many jobs have been counted anew; tests measure the cost of a change by it. */
+    /** How many times a job has been recounted; tests use it to measure the cost of a change. */
     var recounts = 0L
         private set
 
-    /** Begins to follow [jobs], and all that are touched from now on. */
+    /** Starts counting the pending tasks of [jobs] and of all jobs that change from now on. */
     fun follow(jobs: List<PartitionJob>) {
         if (isFollowed) return
         isFollowed = true
-        touched.addAll(jobs)
+        changedJobs.addAll(jobs)
     }
 
-    /** Drops everything, until [follow] is called once more. */
+    /** Stops counting and discards all counts, until [follow] is called again. */
     fun unfollow() {
         isFollowed = false
-        touched.clear()
+        changedJobs.clear()
         countedTasks.clear()
         for (team in byTeam) {
             team.resources = Resources.NONE
@@ -52,14 +56,14 @@
         }
     }
 
-    /** Which tasks of [job] wait may have changed. */
-    fun touch(job: PartitionJob) {
-        if (isFollowed) touched.add(job)
+    /** Records that the pending tasks of [job] may have changed. */
+    fun markChanged(job: PartitionJob) {
+        if (isFollowed) changedJobs.add(job)
     }
 
     fun ofTeam(team: Int): TeamWaiting {
-        touched.forEach(::recount)
-        touched.clear()
+        changedJobs.forEach(::recount)
+        changedJobs.clear()
         return byTeam[team]
     }
 
--- a/src/test/kotlin/io/otterknot/partition/FailoverReconciliationTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/FailoverReconciliationTest.kt
@@ -9,7 +9,7 @@
 
 class FailoverReconciliationTest : PartitionFixture() {
     @Test
-    fun `a machine that has not shown the token gets it and no command, and stays unreconciled`() {
+    fun `a machine that has not shown the token is sent the token but no commands and stays unreconciled`() {
         val partition = partition(listOf("m1", "m2"))
         partition.updateJob(job(1, 4), inherited = true)
         assertEquals(
@@ -26,7 +26,7 @@
     }
 
     @Test
-    fun `doubts end with the lease of a machine that stays silent, or with its release`() {
+    fun `unreconciled tasks start once the lease of an unresponsive machine has expired or the machine is released`() {
         for (released in listOf(true, false)) {
             val partition = partition(listOf("m1", "gone"))
             partition.updateJob(job(1, 1), inherited = true)
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `a machine that got the token and fell silent keeps its tasks until the lease that the response renewed`() {
+    fun `an unresponsive machine that was sent the token keeps its tasks until the renewed lease expires`() {
         val partition = partition(listOf("m1", "m2"))
         partition.updateJob(job(1, 1), inherited = true)
         partition.heartbeat("m1", TOKEN, 100)
@@ -54,12 +54,12 @@
     }
 
     /**
-     * With all unreconciled machines added up for each waiting job in each pass, a restart of all controllers would
-     * cost machines times jobs a heartbeat.
+     * Guards against computing the capacity of all unreconciled machines for each pending job in each scheduling pass:
+     * after a restart of all controllers, the cost of a heartbeat would be proportional to machines times jobs.
      */
     @ParameterizedTest
     @ValueSource(ints = [20, 400])
-    fun `what a heartbeat costs during a failover does not grow with the machines or the jobs`(machines: Int) {
+    fun `the cost of a heartbeat during a failover does not grow with the number of machines or jobs`(machines: Int) {
         val ids = (1..machines).map { "m$it" }
         val partition = partition(ids)
         for (number in 1..40) partition.updateJob(job(number, 3), inherited = false)
@@ -67,11 +67,11 @@
         typeLookups = 0
         ids.dropLast(1).forEach { partition.heartbeat(it, TOKEN, 200) }
         assertFalse(partition.reconciled)
-        assertTrue(typeLookups < 5 * machines, "$typeLookups looked up for $machines heartbeats")
+        assertTrue(typeLookups < 5 * machines, "$typeLookups type lookups for $machines heartbeats")
     }
 
     @Test
-    fun `leadership is transferred only once no earlier leader may act`() {
+    fun `leadership may be transferred only once no earlier leader can act`() {
         val partition = partition(priorLeaderUntilMs = 20_000)
         partition.sweep(10)
         assertTrue(partition.reconciled)
@@ -80,11 +80,11 @@
     }
 
     /**
-     * Each of its heartbeats got a response, so counting its lease from the last of them would leave the partition in
-     * doubt for ever.
+     * Each heartbeat of the machine is responded to. If its lease were counted from the last of them, the
+     * reconciliation would never complete.
      */
     @Test
-    fun `a machine that never shows the token holds up doubts no longer than two leases`() {
+    fun `a machine that never shows the token delays unreconciled tasks by at most two leases`() {
         val partition = partition(listOf("m1", "lossy"))
         partition.updateJob(job(1, 1), inherited = true)
         var startedAt = 0L
@@ -100,11 +100,12 @@
     }
 
     /**
-     * The leader before may not know yet that it was overridden: what no heartbeat makes known waits for its fence too.
+     * An overridden leader may not have noticed that it was overridden, and may still renew leases. Tasks of machines
+     * that never reported therefore wait until it can no longer act, and then for the expiry of the lease.
      */
     @Test
-    fun `while an overridden leader may still act, time alone settles nothing`() {
-        for ((priorLeaderUntilMs, settledMs) in listOf(0L to 10_800L, 22_000L to 32_800L)) {
+    fun `leases of unreported machines do not count as expired while an overridden leader may still act`() {
+        for ((priorLeaderUntilMs, expectedMs) in listOf(0L to 10_800L, 22_000L to 32_800L)) {
             val partition = partition(listOf("m1", "gone"), priorLeaderUntilMs = priorLeaderUntilMs)
             partition.updateJob(job(1, 1), inherited = true)
             var startedAt = 0L
@@ -112,7 +113,7 @@
                 partition.sweep(now)
                 if (startedAt == 0L && partition.heartbeat("m1", TOKEN, now).starts().isNotEmpty()) startedAt = now
             }
-            assertEquals(settledMs, startedAt)
+            assertEquals(expectedMs, startedAt)
         }
     }
 }
--- a/src/test/kotlin/io/otterknot/partition/HeartbeatProcessorTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/HeartbeatProcessorTest.kt
@@ -9,7 +9,7 @@
 
 class HeartbeatProcessorTest : PartitionFixture() {
     @Test
-    fun `a higher token means another leader, an older heartbeat is stale`() {
+    fun `a heartbeat with a higher token means that the leader is superseded, an older heartbeat is stale`() {
         val partition = partition()
         assertEquals(HeartbeatDecision.Superseded, partition.heartbeat("m1", 8, 1))
         partition.heartbeat("m1", TOKEN, 2, epoch = 2, sequence = 5)
@@ -20,7 +20,7 @@
     }
 
     @Test
-    fun `a start that the next heartbeat does not show is tried again under another id`() {
+    fun `a start that the next heartbeat does not show is retried with another attempt id`() {
         val partition = partition()
         partition.register("m1")
         partition.updateJob(job(1, 1), inherited = false)
@@ -28,13 +28,13 @@
         val second = partition.heartbeat("m1", TOKEN, 20).starts().single()
         assertNotEquals(first.attempt, second.attempt)
         assertTrue(partition.heartbeat("m1", TOKEN, 30, second.status()).commands().isEmpty())
-        // In a new epoch the worker has forgotten everything.
+        // With a new epoch, the worker has discarded all attempts of the previous one.
         val restarted = partition.heartbeat("m1", TOKEN, 40, epoch = 2, sequence = 1).starts().single()
         assertEquals("j-000001/0", restarted.task)
     }
 
     @Test
-    fun `a completion is forgotten only once it is durable`() {
+    fun `a forget command for a completed task is sent only once the completion is durable`() {
         val partition = partition()
         partition.register("m1")
         val job = job(1, 1)
@@ -48,10 +48,12 @@
         assertEquals(listOf(CommandOperation.FORGET), operations)
     }
 
-    /** Waiting for the loss instead would make a task late by the whole notice. */
+    /**
+     * If the tasks were restarted only after the loss of the machine, they would be delayed by the whole notice time.
+     */
     @Test
-    fun `what cannot end before the cloud takes its machine begins elsewhere at once`() {
-        // The estimate is 5 s, and the task has run for 2 s when the notice comes.
+    fun `a task that cannot end before the revocation of its spot instance is restarted elsewhere immediately`() {
+        // The estimate is 5 s, and the task has run for 2 s when the revocation notice arrives.
         for ((noticeS, operations) in listOf(4.0 to emptyList(), 2.0 to listOf(CommandOperation.HALT))) {
             val partition = partition()
             partition.register("m1")
@@ -68,7 +70,7 @@
     }
 
     @Test
-    fun `what is booked on a machine that the cloud takes is not sent there`() {
+    fun `a task booked on a spot instance that is being revoked is not started there`() {
         val partition = partition()
         partition.register("m1")
         partition.updateJob(job(1, 1), inherited = false)
--- a/src/test/kotlin/io/otterknot/partition/MachineHealthTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/MachineHealthTest.kt
@@ -12,9 +12,12 @@
 import org.junit.jupiter.params.provider.CsvSource
 
 class MachineHealthTest : PartitionFixture() {
-    /** Unresponsive for long, it may run them past the time that a cancellation allows; the cloud's answer ends that. */
+    /**
+     * Guards against tasks of a cancelled job that keep running on an unresponsive machine past the time limit of a
+     * cancellation: once the cloud confirms the release of the machine, they no longer run.
+     */
     @Test
-    fun `a machine that fell silent with tasks of a cancelled job goes back, however many others are silent`() {
+    fun `an unresponsive machine with tasks of a cancelled job is released even if other machines are unresponsive`() {
         val partition = partition()
         partition.register("m1", "m2")
         val job = job(1, 8)
@@ -30,29 +33,32 @@
         partition.sweep(10_900)
         assertEquals(listOf("m1", "m2"), partition.fleet.unresponsive(10_900, 20_000).sorted())
         partition.heartbeat("m1", TOKEN, 11_000, epoch = 2, sequence = 1)
-        assertEquals(listOf("m2"), partition.fleet.unresponsive(11_000, 20_000), "it is back, with nothing")
+        assertEquals(listOf("m2"), partition.fleet.unresponsive(11_000, 20_000), "m1 reports again, without tasks")
         partition.fleet.machineReleased("m2")
         assertEquals(emptyList<String>(), partition.fleet.unresponsive(11_000, 20_000))
     }
 
-    /** At any time some machine of a large partition is dead, and after a failover it would hold up thousands of tasks. */
+    /**
+     * In a large partition some machine is dead at any time. After a failover it would delay thousands of unreconciled
+     * tasks.
+     */
     @ParameterizedTest
     @CsvSource("1,4900,0", "1,5100,1", "5,5100,0", "5,7600,5", "40,7600,0")
-    fun `machines that have not reported since a failover are given back, sooner when they are few`(
+    fun `machines that have not reported since a failover are released, sooner if they are few`(
         missing: Int,
         now: Long,
-        returned: Int,
+        released: Int,
     ) {
         val ids = (1..100).map { "m$it" }
         val partition = partition(ids)
         partition.updateJob(job(1, 1), inherited = true)
         ids.drop(missing).forEach { partition.heartbeat(it, TOKEN, now - 500) }
-        assertEquals(ids.take(returned), partition.fleet.unresponsive(now, 7_500).sorted())
+        assertEquals(ids.take(released), partition.fleet.unresponsive(now, 7_500).sorted())
         assertFalse(partition.reconciled)
     }
 
     @Test
-    fun `a machine that loses responses gets one task at a time at most, and is to be released`() {
+    fun `a machine that loses responses is assigned at most one task at a time and is to be released`() {
         val partition = partition()
         partition.register("lossy", "m1", "m2", "m3")
         partition.updateJob(job(1, 60, cores = 1.0), inherited = false)
@@ -68,11 +74,11 @@
         assertTrue("lossy" in partition.fleet.losingResponses())
         partition.sweep(12_100, isLeaderSlow = true)
         val blamed = partition.fleet.losingResponses()
-        assertEquals(emptyList<String>(), blamed, "the leader is slow, and no machine to blame")
+        assertEquals(emptyList<String>(), blamed, "a slow leader attributes lost responses to no machine")
     }
 
     @Test
-    fun `among machines that get their responses only the one that loses them is to be released`() {
+    fun `only the machine that loses responses is to be released`() {
         val partition = partition()
         partition.register("lossy", "m1", "m2", "m3")
         partition.updateJob(job(2, 60, cores = 1.0), inherited = false)
--- a/src/test/kotlin/io/otterknot/partition/MachineLifecycleTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/MachineLifecycleTest.kt
@@ -7,7 +7,7 @@
 
 class MachineLifecycleTest : PartitionFixture() {
     @Test
-    fun `a silent machine's tasks start elsewhere only after its lease`() {
+    fun `tasks of an unresponsive machine start elsewhere only after its lease has expired`() {
         val partition = partition()
         partition.register("m1", "m2")
         partition.updateJob(job(1, 1, cores = 8.0), inherited = false)
@@ -23,7 +23,7 @@
     }
 
     @Test
-    fun `a late copy of a heartbeat does not bring a forgotten or released machine back`() {
+    fun `a delayed copy of a heartbeat does not add a forgotten or released machine again`() {
         val partition = partition()
         partition.register("m1", "m2")
         partition.updateJob(job(1, 1), inherited = false)
@@ -31,17 +31,17 @@
             partition.heartbeat(id, TOKEN, 10).starts().firstOrNull()?.let { id to it }
         }
         partition.heartbeat(machine, TOKEN, 20, start.status())
-        val seen = lastSequence(machine)
+        val lastSeen = lastSequence(machine)
         for (remove in listOf<(String) -> Unit>(partition.fleet::forget, partition.fleet::machineReleased)) {
             remove(machine)
-            val late = partition.heartbeat(machine, TOKEN, 30, listOf(start.status()), sequence = seen)
+            val late = partition.heartbeat(machine, TOKEN, 30, listOf(start.status()), sequence = lastSeen)
             assertEquals(HeartbeatDecision.Stale, late)
             assertNull(partition.machine(machine))
         }
         assertEquals(
             HeartbeatDecision.Stale,
-            partition.heartbeat(machine, TOKEN, 30, sequence = seen + 50),
-            "a machine that the cloud took back is gone for good",
+            partition.heartbeat(machine, TOKEN, 30, sequence = lastSeen + 50),
+            "no heartbeat of a released machine is accepted",
         )
     }
 }
--- a/src/test/kotlin/io/otterknot/partition/PartitionFixture.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionFixture.kt
@@ -17,11 +17,11 @@
 import io.otterknot.wire.TaskState
 import io.otterknot.wire.TaskStatus
 
-/** The fencing token of the leader in these tests, and of the one before it. */
+/** The fencing tokens of the leader in these tests and of the leader before it. */
 internal const val TOKEN = 7L
 internal const val PRIOR_TOKEN = 3L
 
-/** Partitions of machines with eight cores each, their jobs, and the heartbeats of the machines. */
+/** Creates partitions of machines with eight cores each, jobs, and heartbeats of the machines. */
 abstract class PartitionFixture {
     private val machineType = MachineType("big", 8.0, 0.0, 64.0)
     private val lastSequences = HashMap<String, Long>()
@@ -29,13 +29,13 @@
     /** How often a machine type was looked up. */
     protected var typeLookups = 0
 
-    /** [limit]: the cores of team red's quota share. */
+    /** Creates a partition in which the quota share of team red is [quotaCores]. */
     protected fun partition(
         registered: List<String> = emptyList(),
-        limit: Double = 1e9,
+        quotaCores: Double = 1e9,
         priorLeaderUntilMs: Long = 0,
     ) = testPartition(
-        listOf(TeamQuota("red", 1.0, QuotaAmount(limit, 0.0)), unlimitedTeam("blue")),
+        listOf(TeamQuota("red", 1.0, QuotaAmount(quotaCores, 0.0)), unlimitedTeam("blue")),
         fencingToken = TOKEN,
         priorLeaderUntilMs = priorLeaderUntilMs,
         registeredMachines = registered.associateWith { "big" },
@@ -81,7 +81,7 @@
     protected fun HeartbeatDecision.starts(): List<HeartbeatCommand> =
         commands().filter { it.op == CommandOperation.START }
 
-    /** What a machine shows of the attempt that this command is for. */
+    /** The status that a machine reports for the attempt of this command. */
     protected fun HeartbeatCommand.status(state: TaskState = TaskState.RUNNING, cause: ExitCause? = null) =
         TaskStatus(task, attempt, state, cause)
 
@@ -89,10 +89,10 @@
 
     protected fun List<HeartbeatCommand>.running(): List<TaskStatus> = map { it.status() }
 
-    /** A task that an earlier leader started. */
+    /** The status of a running task that an earlier leader started. */
     protected fun runningTask(task: String) = TaskStatus(task, 9, TaskState.RUNNING)
 
-    /** Makes the machines known, registered and idle. */
+    /** Adds the machines to the partition as registered and idle machines. */
     protected fun Partition.register(vararg ids: String) {
         ids.forEach { heartbeat(it, fencingToken, 1) }
         fleet.updateRegistered(machines.map { it.id }.toSet())
--- a/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/PartitionTest.kt
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Jobs in a partition: cancellation, preemption, reassignment. */
+/** Cancellation, preemption, and reassignment of jobs in a partition. */
 class PartitionTest : PartitionFixture() {
     @Test
-    fun `a cancelled job is halted where it runs and started nowhere`() {
+    fun `running tasks of a cancelled job are halted and its pending tasks are not started`() {
         val partition = partition()
         partition.register("m1")
         val job = job(1, 6)
@@ -30,25 +30,25 @@
     }
 
     @Test
-    fun `urgent work stops lesser work, the newest first, and lesser work does not take the room`() {
+    fun `a high priority task preempts best effort tasks, newest first, and its freed cores stay reserved`() {
         val partition = partition()
         partition.register("m1")
         partition.updateJob(job(1, 20, cores = 1.0, priority = Priority.BEST_EFFORT, team = "blue"), inherited = false)
-        val lesser = partition.heartbeat("m1", TOKEN, 10).starts()
-        assertEquals(8, lesser.size)
-        partition.heartbeat("m1", TOKEN, 20, lesser.running())
+        val bestEffort = partition.heartbeat("m1", TOKEN, 10).starts()
+        assertEquals(8, bestEffort.size)
+        partition.heartbeat("m1", TOKEN, 20, bestEffort.running())
         partition.updateJob(job(2, 1, cores = 3.0), inherited = false)
-        val early = partition.heartbeat("m1", TOKEN, 30, lesser.running()).commands()
-        assertTrue(early.isEmpty(), "lesser work may finish by itself first")
-        val halted = partition.heartbeat("m1", TOKEN, 3_030, lesser.running()).commands()
+        val early = partition.heartbeat("m1", TOKEN, 30, bestEffort.running()).commands()
+        assertTrue(early.isEmpty(), "best effort tasks get time to finish before preemption")
+        val halted = partition.heartbeat("m1", TOKEN, 3_030, bestEffort.running()).commands()
         assertEquals(List(3) { CommandOperation.HALT }, halted.map { it.op })
         val haltedIds = halted.map { it.attempt }.toSet()
-        // Only two of the three have stopped: their cores stay free for the urgent task.
+        // Only two of the three have stopped: their cores stay reserved for the high priority task.
         val firstTwo = haltedIds.take(2).toSet()
-        val afterTwo = lesser.filter { it.attempt !in firstTwo }
+        val afterTwo = bestEffort.filter { it.attempt !in firstTwo }
         val partly = partition.heartbeat("m1", TOKEN, 3_040, afterTwo.running()).commands()
         assertTrue(partly.none { it.op == CommandOperation.START }, "$partly")
-        val afterAll = lesser.filter { it.attempt !in haltedIds }
+        val afterAll = bestEffort.filter { it.attempt !in haltedIds }
         val started = partition.heartbeat("m1", TOKEN, 3_050, afterAll.running()).starts()
         assertEquals(listOf("j-000002/0"), started.map { it.task })
     }
@@ -64,7 +64,7 @@
         partition.register("m1")
         val started = partition.heartbeat("m1", TOKEN, 10).starts()
         assertEquals(listOf("j-000001/0", "j-000001/1"), started.map { it.task })
-        // A heartbeat from before, delivered only now, shows one of them on a machine whose lease has expired since.
+        // A delayed heartbeat shows one of the tasks on a machine whose lease has expired since it was sent.
         partition.heartbeat("m3", TOKEN, 20, runningTask("j-000001/5"))
         partition.heartbeat("m3", TOKEN, 30, epoch = 2, sequence = 1)
         assertFalse(partitionJob.pending.get(5))
@@ -74,7 +74,7 @@
     }
 
     @Test
-    fun `a job that has not begun for long gets one task before more urgent work`() {
+    fun `one task of a job that has waited long for its first start is placed before higher priority work`() {
         val partition = partition()
         partition.register("m1")
         partition.updateJob(job(1, 500, cores = 1.0), inherited = false)
--- a/src/test/kotlin/io/otterknot/partition/StragglerDetectorTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/StragglerDetectorTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test
 
 class StragglerDetectorTest : PartitionFixture() {
-    /** A machine whose tasks all run for [taskMs]. */
+    /** A simulated machine on which each task runs for [taskMs]. */
     private inner class SimulatedMachine(val id: String, private val taskMs: Long) {
         private val startedMs = LinkedHashMap<HeartbeatCommand, Long>()
         var halts = 0
@@ -31,7 +31,7 @@
     }
 
     @Test
-    fun `a machine that is slow for several tasks is drained, one long task is tried elsewhere once`() {
+    fun `a machine that is slow for several tasks is quarantined, a single straggler is restarted once`() {
         val partition = partition()
         val machines = listOf("m1" to 10_000L, "m2" to 10_000L, "slow" to 40_000L).map { (id, taskMs) ->
             SimulatedMachine(id, taskMs)
