--- a/src/main/kotlin/io/otterknot/partition/AttemptLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/AttemptLedger.kt
@@ -29,7 +29,7 @@
     /** Books an attempt that an earlier leader started and that [machine] reports with the id [attemptId]. */
     fun adopt(machine: Machine, job: PartitionJob, task: Int, attemptId: Long, now: Long): Attempt {
         job.pending.clear(task)
-        job.inDoubt.clear(task)
+        job.unreconciledTasks.clear(task)
         return book(Attempt(job, task, attemptId, machine, AttemptPhase.SENT, now))
     }
 
@@ -80,7 +80,7 @@
     fun recordCompletion(job: PartitionJob, task: Int) {
         job.unrecordedCompletions.set(task)
         job.pending.clear(task)
-        job.inDoubt.clear(task)
+        job.unreconciledTasks.clear(task)
         waitingWork.markChanged(job)
     }
 
--- a/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
@@ -41,7 +41,7 @@
      */
     fun handle(machine: Machine, job: PartitionJob, task: Int, status: TaskStatus): HeartbeatCommand? {
         if (status.cause == ExitCause.DONE) return complete(machine, job, task, status)
-        if (job.isUnassigned(task) && !job.inDoubt.get(task)) attempts.requeue(job, task)
+        if (job.isUnassigned(task) && !job.unreconciledTasks.get(task)) attempts.requeue(job, task)
         return forget(status)
     }
 
--- a/src/main/kotlin/io/otterknot/partition/FailoverReconciliation.kt
+++ b/src/main/kotlin/io/otterknot/partition/FailoverReconciliation.kt
@@ -23,7 +23,7 @@
         private set
 
     /** When the partition was acquired, or null if reconciliation is complete. */
-    val acquiredMsWhileInDoubt: Long? get() = if (isComplete) null else term.acquiredMs
+    val acquiredMsWhileUnreconciled: Long? get() = if (isComplete) null else term.acquiredMs
 
     /**
      * Whether leadership may be transferred: another leader would soon complete its own reconciliation. While an
@@ -69,7 +69,7 @@
         unreconciled.removeIf { isLeaseExpiryCertain(it, now) }
         if (!unreconciled.isEmpty) return
         isComplete = true
-        val taskCount = jobs.resolveDoubts()
+        val taskCount = jobs.makeUnreconciledTasksPending()
         log.info(
             "partition={} since_acquisition_ms={} tasks={} reconciliation complete, unreconciled tasks made pending",
             term.zone,
--- a/src/main/kotlin/io/otterknot/partition/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -97,7 +97,7 @@
      * Applies the state of [job] in the store replica. [inherited] means that the state was written before this
      * partition was acquired.
      */
-    fun updateJob(job: Job, inherited: Boolean) = partitionJobs.update(job, isInDoubt = inherited && !reconciled)
+    fun updateJob(job: Job, inherited: Boolean) = partitionJobs.update(job, isUnreconciled = inherited && !reconciled)
 
     /** Applies the completions of [job] that have become durable. */
     fun applyCompletions(job: Job) = partitionJobs.applyCompletions(job)
--- a/src/main/kotlin/io/otterknot/partition/PartitionFleet.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionFleet.kt
@@ -34,7 +34,7 @@
      * reconciliation; see [MachineHealth.unresponsive].
      */
     fun unresponsive(now: Long, timeoutMs: Long): List<String> =
-        state.health.unresponsive(now, timeoutMs, reconciliation.acquiredMsWhileInDoubt)
+        state.health.unresponsive(now, timeoutMs, reconciliation.acquiredMsWhileUnreconciled)
 
     /** Machines to be released because the responses to their heartbeats are lost repeatedly. */
     fun losingResponses(): List<String> = state.health.losingResponses()
--- a/src/main/kotlin/io/otterknot/partition/PartitionJobs.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionJobs.kt
@@ -21,10 +21,10 @@
     operator fun get(id: String): PartitionJob? = byId[id]
 
     /**
-     * Applies the state of [job] in the store replica. With [isInDoubt], an earlier leader may have started the tasks
-     * that are new in this partition: they are not started until reconciliation is complete.
+     * Applies the state of [job] in the store replica. With [isUnreconciled], an earlier leader may have started the
+     * tasks that are new in this partition: they are not started until reconciliation is complete.
      */
-    fun update(job: Job, isInDoubt: Boolean) {
+    fun update(job: Job, isUnreconciled: Boolean) {
         val record = job.record ?: return
         if (record.spec == null || job.terminalState != null) {
             get(job.id)?.let(::drop)
@@ -34,7 +34,7 @@
         if (!job.isReady) return
         val partitionJob = get(job.id) ?: add(job, record) ?: return
         if (partitionJob.applyInheritedPriority()) trigger.requestFullPass()
-        updateOwnedTasks(partitionJob, record, isInDoubt)
+        updateOwnedTasks(partitionJob, record, isUnreconciled)
     }
 
     /** Adds [job], or returns null if it has no tasks in this partition. */
@@ -46,7 +46,7 @@
         return partitionJob
     }
 
-    private fun updateOwnedTasks(partitionJob: PartitionJob, record: JobRecord, isInDoubt: Boolean) {
+    private fun updateOwnedTasks(partitionJob: PartitionJob, record: JobRecord, isUnreconciled: Boolean) {
         val owned = BitSet()
         record.spans.forEach { if (it.zone == zone) owned.set(it.from, it.until) }
         val added = (owned.clone() as BitSet).apply {
@@ -56,9 +56,9 @@
         val removed = (partitionJob.owned.clone() as BitSet).apply { andNot(owned) }
         partitionJob.owned.clear()
         partitionJob.owned.or(owned)
-        if (isInDoubt) partitionJob.inDoubt.or(added) else partitionJob.pending.or(added)
+        if (isUnreconciled) partitionJob.unreconciledTasks.or(added) else partitionJob.pending.or(added)
         partitionJob.pending.andNot(removed)
-        partitionJob.inDoubt.andNot(removed)
+        partitionJob.unreconciledTasks.andNot(removed)
         partitionJob.beingReassigned.andNot(removed)
         waitingWork.markChanged(partitionJob)
         if (!added.isEmpty) trigger.requestFullPass()
@@ -118,18 +118,18 @@
         val partitionJob = get(job.id) ?: return
         partitionJob.unrecordedCompletions.andNot(job.completedTasks)
         partitionJob.pending.andNot(job.completedTasks)
-        partitionJob.inDoubt.andNot(job.completedTasks)
+        partitionJob.unreconciledTasks.andNot(job.completedTasks)
         waitingWork.markChanged(partitionJob)
     }
 
     /** Makes all unreconciled tasks pending, since no machine can hold one any more. Returns how many there were. */
-    fun resolveDoubts(): Int {
+    fun makeUnreconciledTasksPending(): Int {
         var count = 0
         for (job in all) {
-            job.inDoubt.andNot(job.job.completedTasks)
-            count += job.inDoubt.cardinality()
-            job.pending.or(job.inDoubt)
-            job.inDoubt.clear()
+            job.unreconciledTasks.andNot(job.job.completedTasks)
+            count += job.unreconciledTasks.cardinality()
+            job.pending.or(job.unreconciledTasks)
+            job.unreconciledTasks.clear()
             waitingWork.markChanged(job)
         }
         trigger.requestFullPass()
--- a/src/main/kotlin/io/otterknot/partition/PartitionPlacement.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionPlacement.kt
@@ -32,7 +32,7 @@
      * its zone, so only the attempts here and the unreconciled tasks count.
      */
     private fun startableInZone(job: PartitionJob): Int = if (job.spec.spreadAcrossZones) {
-        job.spec.maxTasksPerZone - job.active.size - job.inDoubt.cardinality()
+        job.spec.maxTasksPerZone - job.active.size - job.unreconciledTasks.cardinality()
     } else {
         Int.MAX_VALUE
     }
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
@@ -124,7 +124,7 @@
 
     private fun pauseReason(partition: Partition, now: Long): PlanningPauseReason? = when {
         !host.mayActFor(partition) -> PlanningPauseReason.NOT_LEADER
-        !partition.reconciled || now <= partition.priorLeaderUntilMs -> PlanningPauseReason.IN_DOUBT
+        !partition.reconciled || now <= partition.priorLeaderUntilMs -> PlanningPauseReason.UNRECONCILED
         !host.isStoreAvailable -> PlanningPauseReason.STORE_UNAVAILABLE
         now < overloadedUntilMs -> PlanningPauseReason.CONTROLLER_OVERLOADED
         else -> null
--- a/src/main/kotlin/io/otterknot/rebalance/PlanningPauseReason.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PlanningPauseReason.kt
@@ -10,7 +10,7 @@
     NOT_LEADER,
 
     @SerialName("in doubt after a claim")
-    IN_DOUBT,
+    UNRECONCILED,
 
     @SerialName("the state service does not answer")
     STORE_UNAVAILABLE,
--- a/src/main/kotlin/io/otterknot/rebalance/WaitCause.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCause.kt
@@ -8,7 +8,7 @@
 enum class WaitCause {
     /** An earlier leader may have started it. */
     @SerialName("doubt")
-    IN_DOUBT,
+    UNRECONCILED,
 
     /** It is being reassigned to another partition, until that change is durable. */
     @SerialName("handover")
--- a/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
@@ -16,7 +16,7 @@
         val machinesWithFreeCores = partition.machines.filter { it.inService && it.usedCores < it.type.cores }
         var examined = 0
         for (job in partition.jobs) {
-            add(job.spec.team, WaitCause.IN_DOUBT, job.inDoubt.cardinality())
+            add(job.spec.team, WaitCause.UNRECONCILED, job.unreconciledTasks.cardinality())
             add(job.spec.team, WaitCause.REASSIGNMENT, job.beingReassigned.cardinality())
             for (attempt in job.active.values) {
                 when (attempt.phase) {
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
@@ -6,10 +6,10 @@
 import java.util.BitSet
 
 /**
- * The tasks of one job that belong to this partition. Each of [owned] is in one of [pending], [inDoubt],
+ * The tasks of one job that belong to this partition. Each of [owned] is in one of [pending], [unreconciledTasks],
  * [beingReassigned], [unrecordedCompletions] and [active], or done.
  *
- * The sets are read where they are needed, also by other packages; only the partition's job book and attempt ledger
+ * The sets are read where they are needed, also by other packages; only the partition's job list and attempt ledger
  * change them. [team] is the index of the job's team; -1: the settings name no such team.
  */
 class PartitionJob(val job: Job, submitted: JobSpec, val team: Int) {
@@ -35,7 +35,7 @@
     val pending = BitSet()
 
     /** A machine that has not shown this leader's fencing token yet may hold it. */
-    val inDoubt = BitSet()
+    val unreconciledTasks = BitSet()
 
     /** Leaving for another partition in a transaction whose outcome is not known yet; never started here meanwhile. */
     val beingReassigned = BitSet()
@@ -50,7 +50,7 @@
     val restarted = BitSet()
 
     val pendingCount: Int get() = pending.cardinality()
-    val pendingCores: Double get() = (pendingCount + inDoubt.cardinality()) * spec.cores
+    val pendingCores: Double get() = (pendingCount + unreconciledTasks.cardinality()) * spec.cores
 
     /** The job is over; what still occupies machines here is being stopped. */
     var finished = false
@@ -118,7 +118,7 @@
     fun finish() {
         finished = true
         pending.clear()
-        inDoubt.clear()
+        unreconciledTasks.clear()
     }
 
     fun markStarted() {
@@ -148,7 +148,7 @@
         remainingCoreSeconds = (spec.tasks - job.completedTasks.cardinality()) * spec.cores * spec.estimateS
     }
 
-    /** It belongs here and is not done, leaving, or on a machine as far as is known: pending unless it is in doubt. */
+    /** It belongs here and is not done, leaving, or on a machine as far as is known: pending unless unreconciled. */
     fun isUnassigned(task: Int): Boolean = owned.get(task) &&
         !beingReassigned.get(task) &&
         !active.containsKey(task) &&
@@ -158,7 +158,7 @@
     /** Every task of the job that is not done is pending here, and none is on a machine or may be. */
     val allTasksPending: Boolean
         get() = active.isEmpty() &&
-            inDoubt.isEmpty &&
+            unreconciledTasks.isEmpty &&
             beingReassigned.isEmpty &&
             unrecordedCompletions.isEmpty &&
             pendingCount == spec.tasks - job.completedTasks.cardinality()
--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -220,7 +220,7 @@
 
     /** Taken over, a job that was ready before the claim may run somewhere; one that became so afterwards can't. */
     @Test
-    fun `a job that becomes ready after a claim is in no doubt, one that was before is`() {
+    fun `a job that becomes ready after a claim has no unreconciled tasks, one that was before has`() {
         val partition = partition(registeredMachines = mapOf("m1" to "big"))
         submit(1)
         end(1)
@@ -232,7 +232,9 @@
         partition.updateJob(table[id(4)]!!, inherited = false)
         assertEquals(
             listOf(0 to 2, 2 to 0),
-            listOf(2, 4).map { partition.job(id(it))!! }.map { it.pending.cardinality() to it.inDoubt.cardinality() },
+            listOf(2, 4)
+                .map { partition.job(id(it))!! }
+                .map { it.pending.cardinality() to it.unreconciledTasks.cardinality() },
         )
     }
 
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -1109,12 +1109,12 @@
             named(
                 PlanningPauseReason.serializer(),
                 PlanningPauseReason.NOT_LEADER to "not its owner now",
-                PlanningPauseReason.IN_DOUBT to "in doubt after a claim",
+                PlanningPauseReason.UNRECONCILED to "in doubt after a claim",
                 PlanningPauseReason.STORE_UNAVAILABLE to "the state service does not answer",
                 PlanningPauseReason.CONTROLLER_OVERLOADED to "this controller is short of processor",
             ),
             named(
-                WaitCause.serializer(), WaitCause.IN_DOUBT to "doubt", WaitCause.REASSIGNMENT to "handover",
+                WaitCause.serializer(), WaitCause.UNRECONCILED to "doubt", WaitCause.REASSIGNMENT to "handover",
                 WaitCause.QUOTA_LIMIT to "limit", WaitCause.RETRY_BACKOFF to "retry",
                 WaitCause.CAPACITY_RESERVED to "held room",
                 WaitCause.CAPACITY_ELSEWHERE to "room elsewhere",
