--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -236,7 +236,9 @@
         partition.updateJob(table[id(4)]!!, inherited = false)
         assertEquals(
             listOf(0 to 2, 2 to 0),
-            listOf(2, 4).map { partition.job(id(it))!! }.map { it.pending.cardinality() to it.inDoubt.cardinality() },
+            listOf(2, 4)
+                .map { partition.job(id(it))!! }
+                .map { it.pending.cardinality() to it.unreconciledTasks.cardinality() },
         )
     }
 
