--- a/src/main/kotlin/io/otterknot/scheduling/Attempt.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Attempt.kt
@@ -1,9 +1,9 @@
 package io.otterknot.scheduling
 
 /**
- * One attempt at a task on one machine. [id] is unique among all leaders of the partition.
+ * One attempt to run a task on one machine. [id] is unique across all leaders of the partition.
  *
- * Confined to the controller's event loop, as everything in this package.
+ * Like everything in this package, it is used only on the controller's event loop.
  */
 class Attempt(
     val job: PartitionJob,
@@ -16,58 +16,64 @@
     var phase = phase
         private set
 
-    /** When it was sent, or began to run; when it was booked before that. */
+    /** When the attempt was booked, its start was sent, or it began to run, whichever came last. */
     var phaseSinceMs = phaseSinceMs
         private set
 
-    /** It is to stop: the stop goes out with the next response, and again until the attempt has exited. */
+    /**
+     * Whether a stop is requested. The stop command is sent with the next response and repeated until the attempt has
+     * exited.
+     */
     var stopping = false
         private set
 
-    /** Since when it writes its checkpoint; null: no heartbeat has shown it doing so. */
+    /** When a heartbeat first reported that the attempt writes its checkpoint, or null if none has. */
     var savingSinceMs: Long? = null
         private set
 
-    /** This leader has sent its start; false of an attempt adopted from an earlier leader. */
+    /** Whether this leader has sent the start command; false for an attempt adopted from an earlier leader. */
     private var startSent = false
 
-    /** It was seen to begin to run, so [phaseSinceMs] gives its run time. */
+    /** Whether this leader observed the transition to running, so that [phaseSinceMs] gives the run time. */
     var seenRunning = false
         private set
 
-    /** Placed before more urgent work so that its job starts at all; never preempted. */
+    /** Whether the attempt, placed ahead of more urgent work to start an overdue job, is exempt from preemption. */
     var protectedFromPreemption = false
         private set
 
-    /** The sequence number of the last heartbeat that showed it; -1: none has. */
+    /** The sequence number of the last heartbeat that reported this attempt, or -1 if none has. */
     var lastShownSequence = -1L
         private set
 
-    /** The task's name on the wire. */
+    /** The task's identifier on the wire. */
     val name: String get() = "${job.id}/$task"
     val occupiesMachine: Boolean get() = phase != AttemptPhase.EXITED
 
-    /** How long it will run yet in ms, by the job's tasks that have completed here, or else by its user's estimate. */
+    /**
+     * The expected remaining run time in ms, from the mean of the job's tasks that completed in this partition, or from
+     * the user's estimate while too few have completed.
+     */
     fun expectedRemainingMs(now: Long): Double =
         job.expectedRunMs - (if (phase == AttemptPhase.RUNNING) now - phaseSinceMs else 0)
 
-    /** Its start goes out with the response that is being made. */
+    /** Records that the start command is part of the response that is being built. */
     fun markSent(now: Long) {
         phase = AttemptPhase.SENT
         startSent = true
         phaseSinceMs = now
     }
 
-    /** The heartbeat [sequence] shows it. */
+    /** Records that the heartbeat with number [sequence] reports this attempt. */
     fun shownBy(sequence: Long) {
         lastShownSequence = sequence
     }
 
-    /** A heartbeat shows it in [shown], another phase than before. */
+    /** Records the phase [shown] from a heartbeat; it differs from the current one. */
     fun enterPhase(shown: AttemptPhase, now: Long) {
         when (shown) {
             AttemptPhase.RUNNING -> {
-                // An adopted attempt that already runs has done so for a time that is not known.
+                // It is unknown how long an adopted attempt that already runs has been running.
                 seenRunning = phase != AttemptPhase.SENT || startSent
                 phaseSinceMs = now
                 job.markStarted()
--- a/src/main/kotlin/io/otterknot/scheduling/AttemptPhase.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/AttemptPhase.kt
@@ -1,18 +1,18 @@
 package io.otterknot.scheduling
 
-/** How far an attempt has come, as far as this controller knows. */
+/** The phase of an attempt, as last observed by this controller. */
 enum class AttemptPhase {
-    /** Placed here; its start has not been sent, so it can be undone at once. */
+    /** Placed on the machine. The start command has not been sent, so the placement can be undone immediately. */
     BOOKED,
 
-    /** Its start was sent and no heartbeat has shown it yet. */
+    /** The start command was sent and no heartbeat has reported the attempt yet. */
     SENT,
     FETCHING,
     RUNNING,
 
-    /** Writing its checkpoint after it was told to stop. */
+    /** Writing its checkpoint after a stop command. */
     SAVING,
 
-    /** Exited, lost or undone: it occupies nothing any more. */
+    /** Exited, lost or undone: the attempt no longer occupies resources. */
     EXITED,
 }
--- a/src/main/kotlin/io/otterknot/scheduling/ImageCounts.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/ImageCounts.kt
@@ -2,7 +2,7 @@
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
-/** On how many machines of a partition each image is, kept up as machines fetch and evict images. */
+/** Counts for each image the machines of a partition that hold it; updated as machines fetch and evict images. */
 class ImageCounts {
     private val machineCounts = Object2IntOpenHashMap<String>()
 
@@ -14,7 +14,7 @@
         if (machineCounts.addTo(image, -1) <= 1) machineCounts.removeInt(image)
     }
 
-    /** The images that are on most machines, at most [maxCount] of them, each on at least [minMachines] machines. */
+    /** Returns up to [maxCount] images held by at least [minMachines] machines, the most widely held first. */
     fun mostCommon(maxCount: Int, minMachines: Int): List<String> = machineCounts.object2IntEntrySet()
         .filter { it.intValue >= minMachines }
         .sortedWith(compareByDescending<Map.Entry<String, Int>> { it.value }.thenBy { it.key })
--- a/src/main/kotlin/io/otterknot/scheduling/JobCandidates.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/JobCandidates.kt
@@ -4,9 +4,10 @@
 import kotlin.random.Random
 
 /**
- * The machines that the tasks of one job may go to now, in groups; the first group with room is taken. Machines that
- * have the job's image come before others, since a fetch holds the task's cores for as long as it takes. If some work
- * may run on ordinary machines only ([prefersSpot]), spot instances come before those.
+ * The machines on which the tasks of one job may be placed now, as groups in order of preference: a task is placed in
+ * the first group that has capacity for it. Machines that have the job's image precede others, since a task occupies
+ * its cores while its image is fetched. [prefersSpot] is set if some job may not run on spot instances; then they
+ * precede ordinary machines for a job that may use both.
  */
 class JobCandidates(machines: List<Machine>, spec: JobSpec, prefersSpot: Boolean, fits: (Machine) -> Boolean) {
     private val groups = ArrayList<PlacementCandidates<Machine>>()
@@ -19,7 +20,7 @@
         }
     }
 
-    /** Chooses a machine for a task of [spec] and adds the task to its load; null: it fits nowhere. */
+    /** Chooses a machine for a task of [spec] and adds the task to its load. Returns null if the task fits nowhere. */
     fun choose(random: Random, spec: JobSpec): Machine? =
         groups.firstNotNullOfOrNull { group -> group.choose(random) { it.share(spec) } }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/Machine.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Machine.kt
@@ -6,12 +6,13 @@
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap
 
 /**
- * A machine of a partition, and the ledger of what is booked on it: shown by its heartbeats, or sent and not shown yet.
+ * A machine of a partition and the resources booked on it: for attempts that its heartbeats report, and for placed
+ * attempts that no heartbeat has reported yet.
  *
- * Its leader's [io.otterknot.partition.Partition] alone changes it, on the controller's event loop; each change of
- * state is one named transition below. [firstSeenMs] is when its first heartbeat came in.
+ * Only the leader's [io.otterknot.partition.Partition] modifies it, on the controller's event loop; each state change
+ * is one named transition below. [firstSeenMs] is when the first heartbeat was received.
  */
-@Suppress("TooManyFunctions") // each change of its state is one named transition of the same ledger
+@Suppress("TooManyFunctions") // each state change is one named transition of the same ledger
 class Machine(
     val id: String,
     val type: MachineType,
@@ -19,73 +20,88 @@
     val firstSeenMs: Long,
     private val imageCounts: ImageCounts,
 ) : PlacementTarget() {
-    // What its heartbeats say.
+    // State reported by heartbeats.
 
-    /** The agent epoch of the last new heartbeat. */
+    /** The agent epoch of the last accepted heartbeat. */
     var epoch = 0L
         private set
     var lastSequence = -1L
         private set
 
-    /** When the last new heartbeat came in. */
+    /** When the last accepted heartbeat was received. */
     var lastHeartbeatMs = 0L
         private set
 
-    /** The latest moment from which its lease may count: no response that it accepted is to a later heartbeat. */
+    /**
+     * The latest possible start of the machine's current lease: every response that it has accepted answers a heartbeat
+     * received at or before this time.
+     */
     var leaseStartMs = firstSeenMs
         private set
     var leaseExpired = false
         private set
 
-    /** Its last heartbeat showed this leader's fencing token, so no command of an earlier leader can reach it. */
+    /**
+     * Whether the last heartbeat carried this leader's fencing token, so that the machine rejects commands of earlier
+     * leaders.
+     */
     var reconciled = false
         private set
 
-    /** It is written down in the store, so that a later leader knows that it may hold tasks. */
+    /** Whether the machine is recorded in the store, which tells a later leader that it may run tasks. */
     var registered = false
         private set
 
-    /** The cloud will take this spot instance away. */
+    /** Whether the cloud has announced that it will revoke this spot instance. */
     var hasSpotNotice = false
         private set
 
-    /** It shows a task that is not booked, so it is not known what room it has. */
+    /** Whether the machine reports a task that is not booked, which makes its free capacity unknown. */
     var hasUnknownTasks = false
         private set
 
-    // Whether it is used.
+    // Availability for placement.
 
-    /** Set aside for good as faulty, slow, being returned or revoked: gets no task and is returned once it is empty. */
+    /**
+     * Whether the machine is permanently excluded as faulty, slow, being returned or being revoked. It gets no further
+     * tasks and is returned once it is empty.
+     */
     var quarantined = false
         private set
 
-    /** Emptied for scale-in: gets no task and is returned once it is empty, unless demand returns before. */
+    /**
+     * Whether the machine is being drained for scale-in. It gets no further tasks and is returned once it is empty,
+     * unless demand rises before that.
+     */
     var draining = false
         private set
 
     /**
-     * Responses in a row that surely did not arrive, by what later heartbeats show. A machine whose heartbeats come
-     * while responses are lost looks idle and would draw task after task.
+     * The number of consecutive responses that later heartbeats prove to be lost. A machine whose heartbeats arrive
+     * while the responses to it are lost looks idle and would attract one task after the other.
      */
     var lostResponses = 0
         private set
 
-    /** When a task was last placed on it only to see whether responses arrive. */
+    /** When a task was last placed on the machine only to test whether responses reach it. */
     var lastProbeMs = Long.MIN_VALUE / 2
         private set
 
-    /** It gets nothing but one probe at a time until a heartbeat proves that responses arrive. */
+    /**
+     * Whether responses to the machine are assumed lost. It then gets only one probe task at a time until a heartbeat
+     * proves that responses arrive.
+     */
     val losesResponses: Boolean get() = lostResponses >= LOST_RESPONSES_LIMIT
 
-    /** Counts as capacity of the partition, whether or not it may get a task already. */
+    /** Whether the machine counts as capacity of the partition, even if it can't accept tasks yet. */
     val inService: Boolean get() = !quarantined && !leaseExpired && !draining
     val acceptsTasks: Boolean get() = reconciled && registered && inService && !losesResponses && !hasUnknownTasks
 
-    // What is on it.
+    // Attempts, images and resources.
 
     val attempts = Long2ObjectLinkedOpenHashMap<Attempt>()
 
-    /** Images that it has or is fetching, with their sizes in GB; the least recently used first. */
+    /** The images that the machine has or is fetching, with their sizes in GB, the least recently used first. */
     val images = LinkedHashMap<String, Double>()
     val slowness = Slowness()
     var usedCores = 0.0
@@ -95,53 +111,53 @@
     var usedCards = 0.0
         private set
 
-    /** What tasks that are being stopped here will free. */
+    /** The resources that will be freed by attempts being stopped on this machine. */
     val beingFreed = MutableResources()
 
-    /** What is reserved here for waiting tasks, by their priority. */
+    /** The resources reserved on this machine for pending tasks, by priority. */
     private val reservedFor = Array(Priority.entries.size) { MutableResources() }
 
-    /** Jobs of which a task failed or ran too long here, with the time until when they are not placed here. */
+    /** The jobs of which a task failed or ran too long on this machine, with the time until which it avoids them. */
     private val avoidedUntilMs = HashMap<String, Long>()
 
-    /** Attempts in a row that failed here. */
+    /** The number of consecutive failed attempts on this machine. */
     var consecutiveFailures = 0
         private set
 
-    /** How many jobs have had a task fail or run too long here since one last completed. */
+    /** The number of jobs of which a task failed or ran too long on this machine since its last completed attempt. */
     val failedJobCount: Int get() = avoidedUntilMs.size
 
-    /** A new heartbeat came in; whether it shows this leader's token is another matter. */
+    /** Records an accepted heartbeat, with or without this leader's fencing token; see [reconcile]. */
     fun heartbeatReceived(sequence: Long, now: Long) {
         lastSequence = sequence
         lastHeartbeatMs = now
         leaseExpired = false
     }
 
-    /** The agent starts a new epoch, having killed all of its attempts. */
+    /** Records that the agent has killed all of its attempts and started a new epoch. */
     fun epochStarted(epoch: Long) {
         this.epoch = epoch
     }
 
-    /** A response to a heartbeat of [now] may renew its lease. */
+    /** Records that the response to the heartbeat received at [now] may renew the machine's lease. */
     fun leaseMayStart(now: Long) {
         leaseStartMs = now
     }
 
-    /** No response renewed its lease in time: its agent has killed all of its attempts. */
+    /** Records that no response renewed the lease in time, so that the agent has killed all of its attempts. */
     fun expireLease() {
         leaseExpired = true
         markNotIdle()
     }
 
-    /** Its heartbeat shows this leader's fencing token. */
+    /** Records that the heartbeat carries this leader's fencing token. */
     fun reconcile() {
         if (reconciled) return
         reconciled = true
         lostResponses = 0
     }
 
-    /** Its heartbeat shows an earlier leader's fencing token. */
+    /** Records that the heartbeat carries an earlier leader's fencing token. */
     fun markUnreconciled() {
         reconciled = false
     }
@@ -150,7 +166,7 @@
         registered = isRegistered
     }
 
-    /** Whether its heartbeat carries a spot notice; what once did stays quarantined. */
+    /** Records whether the heartbeat carries a spot notice. A notice quarantines the machine permanently. */
     fun updateSpotNotice(hasNotice: Boolean) {
         hasSpotNotice = hasNotice
         if (hasNotice) quarantine()
@@ -160,27 +176,30 @@
         hasUnknownTasks = showsUnknownTasks
     }
 
-    /** Sets it aside, which is never undone. */
+    /** Excludes the machine from placement permanently. */
     fun quarantine() {
         quarantined = true
     }
 
-    /** Begins to empty it for scale-in. */
+    /** Starts draining the machine for scale-in. */
     fun drain() {
         draining = true
     }
 
-    /** Demand has returned before it was empty, or is looked at anew. */
+    /** Cancels the drain because demand rose before the machine was empty, or is being re-evaluated. */
     fun cancelDrain() {
         draining = false
     }
 
-    /** So many more responses in a row did not arrive. */
+    /** Records that [count] more consecutive responses were lost. */
     fun responsesLost(count: Int) {
         lostResponses += count
     }
 
-    /** A heartbeat proves that responses arrive, or the responses were late and the machine is not to blame. */
+    /**
+     * Resets the count of lost responses: a heartbeat proves that responses arrive, or the controller sent them late
+     * and the machine is not the cause.
+     */
     fun clearLostResponses() {
         lostResponses = 0
     }
@@ -189,19 +208,22 @@
         lastProbeMs = now
     }
 
-    /** An attempt of [job] failed here. */
+    /** Records a failed attempt of [job] on this machine. */
     fun attemptFailed(job: PartitionJob, now: Long) {
         avoid(job, now)
         consecutiveFailures++
     }
 
-    /** An attempt completed here, so the machine is sound. */
+    /** Records a completed attempt, which shows that the machine works, and forgets earlier failures. */
     fun attemptCompleted() {
         avoidedUntilMs.clear()
         consecutiveFailures = 0
     }
 
-    /** No further task of [job] is placed here for a while: not for ever, as it may be the only machine that it fits. */
+    /**
+     * Keeps further tasks of [job] off this machine for [AVOID_JOB_MS]. The exclusion is temporary, since
+     * this may be the only machine that the job fits on.
+     */
     fun avoid(job: PartitionJob, now: Long) {
         avoidedUntilMs[job.id] = now + AVOID_JOB_MS
     }
@@ -209,7 +231,10 @@
     fun avoids(jobId: String, now: Long): Boolean =
         avoidedUntilMs.isNotEmpty() && (avoidedUntilMs[jobId] ?: Long.MIN_VALUE) > now
 
-    /** A task uses its image. What the image cache has no room for besides was evicted, the least recently used first. */
+    /**
+     * Marks the image of [spec] as the most recently used. The agent has evicted the least recently used images that
+     * exceed the capacity of its image cache, so they are removed here too.
+     */
     fun useImage(spec: JobSpec) {
         if (images.remove(spec.image) == null) imageCounts.added(spec.image)
         images[spec.image] = spec.imageGb
@@ -221,7 +246,7 @@
         }
     }
 
-    /** Books room for a task of [spec]. */
+    /** Books the resources of a task of [spec]. */
     fun book(spec: JobSpec) {
         usedCores += spec.cores
         usedCards += spec.cards
@@ -234,18 +259,21 @@
         usedMemory -= spec.memoryGb
     }
 
-    /** What is reserved here for waiting tasks of [priority]. */
+    /** The resources reserved on this machine for pending tasks of [priority]. */
     fun reserved(priority: Priority): MutableResources = reservedFor[priority.ordinal]
 
-    /** The job may run on machines of this type, spot or not. */
+    /** Whether [spec] allows this machine's type and, for a spot instance, the use of spot instances. */
     fun isAllowedFor(spec: JobSpec): Boolean = (spec.spot || !spot) && (spec.types == null || type.name in spec.types)
 
     fun hasRoomFor(spec: JobSpec): Boolean = usedCores + spec.cores <= type.cores + EPSILON &&
         usedMemory + spec.memoryGb <= type.memoryGb + EPSILON &&
         usedCards + spec.cards <= type.cards + EPSILON
 
-    /** A task fits now, without the room that is reserved for tasks of a higher priority. */
-    fun hasUnreservedRoomFor(spec: JobSpec): Boolean {
+    /**
+     * Whether a task of [spec] fits now without taking capacity reserved for tasks of a higher priority. Resources that
+     * are being freed count towards those reservations.
+     */
+    fun hasUnreservedCapacityFor(spec: JobSpec): Boolean {
         if (!hasRoomFor(spec)) return false
         var cores = usedCores - beingFreed.cores + spec.cores
         var memory = usedMemory - beingFreed.memoryGb + spec.memoryGb
@@ -258,33 +286,33 @@
         return cores <= type.cores + EPSILON && memory <= type.memoryGb + EPSILON && cards <= type.cards + EPSILON
     }
 
-    /** What is free or being freed and not reserved for tasks of [priority] or a higher one. */
-    fun unreservedRoom(priority: Priority): MutableResources {
-        val room = MutableResources(
+    /** Returns the resources that are free or being freed and not reserved for tasks of [priority] or a higher one. */
+    fun unreservedCapacity(priority: Priority): MutableResources {
+        val capacity = MutableResources(
             type.cores - usedCores + beingFreed.cores,
             type.memoryGb - usedMemory + beingFreed.memoryGb,
             type.cards - usedCards + beingFreed.cards,
         )
-        for (level in 0..priority.ordinal) room.subtract(reservedFor[level])
-        return room
+        for (level in 0..priority.ordinal) capacity.subtract(reservedFor[level])
+        return capacity
     }
 
-    /** The booked share of the scarcest resource. */
+    /** Returns the booked fraction of the most heavily booked resource. */
     fun bookedShare(): Double =
         maxOf(ratio(usedCores, type.cores), ratio(usedMemory, type.memoryGb), ratio(usedCards, type.cards))
 
-    /** The share of the machine that a task of [spec] takes, of whichever resource it takes most of. */
+    /** Returns the dominant share of a task of [spec]: the largest fraction that it takes of any resource. */
     fun share(spec: JobSpec): Double =
         maxOf(ratio(spec.cores, type.cores), ratio(spec.memoryGb, type.memoryGb), ratio(spec.cards, type.cards))
 
-    private fun ratio(part: Double, whole: Double) = if (whole > 0) part / whole else 0.0
+    private fun ratio(part: Double, total: Double) = if (total > 0) part / total else 0.0
 
     companion object {
-        /** How far sums of cores, GB or cards may be off by rounding. */
+        /** The tolerance for rounding errors in sums of cores, GB or GPUs. */
         const val EPSILON = 1e-6
         private const val AVOID_JOB_MS = 15_000L
 
-        /** So many lost responses in a row make a machine one that loses responses. */
+        /** The number of consecutive lost responses after which [losesResponses] is true. */
         private const val LOST_RESPONSES_LIMIT = 2
     }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/MutableResources.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/MutableResources.kt
@@ -3,7 +3,8 @@
 import io.otterknot.wire.JobSpec
 
 /**
- * Cores, memory and cards that are counted up and down in place: the scheduler does so for each task that it looks at.
+ * Cores, memory and GPUs. They are modified in place because the scheduler adds and subtracts for each task it
+ * considers.
  */
 class MutableResources(cores: Double = 0.0, memoryGb: Double = 0.0, cards: Double = 0.0) {
     var cores = cores
@@ -36,7 +37,7 @@
         cards -= other.cards
     }
 
-    /** Subtracts a task of [spec], stopping at zero. */
+    /** Subtracts the resources of a task of [spec]; no amount falls below zero. */
     fun subtractDownToZero(spec: JobSpec) {
         cores = maxOf(0.0, cores - spec.cores)
         memoryGb = maxOf(0.0, memoryGb - spec.memoryGb)
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
@@ -5,16 +5,17 @@
 import kotlin.random.Random
 
 /**
- * The choice among partitions, made like the one among machines: one with announced idle machines, else the one of two
- * random samples with the lower mean load (power of two choices; Saqr, section 3.2).
+ * Chooses partitions in the same way as [PlacementCandidates] chooses machines: one with announced idle machines if
+ * there is any, otherwise the one with the lower mean load of two random samples (power of two choices; Saqr, section
+ * 3.2).
  */
 object PartitionChooser {
-    /** A decision for each task of a large job would cost too much: its tasks are dealt out in at most so many blocks. */
+    /** The maximum number of task blocks of a job. One decision for each task of a large job would cost too much. */
     private const val MAX_BLOCKS = 64
 
     /**
-     * Divides the tasks of [spec] among [partitions], raising the means of those chosen. The spans cover all tasks, the
-     * largest first; its partition becomes the job's home partition.
+     * Distributes the tasks of [spec] over [partitions] and raises the mean loads of those chosen. The returned spans
+     * cover all tasks, the largest first; the partition of the first span becomes the job's home partition.
      */
     fun deal(spec: JobSpec, partitions: List<PartitionView>, random: Random): List<TaskSpan> {
         val allowed = if (spec.zone == null) partitions else partitions.filter { it.zone == spec.zone }
@@ -26,7 +27,7 @@
         return spans(allowed, dealBlocks(spec, allowed, random))
     }
 
-    /** How many tasks each of [partitions] gets. */
+    /** Returns the number of tasks for each of [partitions]. */
     private fun dealBlocks(spec: JobSpec, partitions: List<PartitionView>, random: Random): IntArray {
         val counts = IntArray(partitions.size)
         val blockSize = maxOf(1, (spec.tasks + MAX_BLOCKS - 1) / MAX_BLOCKS)
@@ -52,7 +53,10 @@
         return spans
     }
 
-    /** Chooses one of [partitions] for a block of tasks; an idle machine that is counted on is not counted on again. */
+    /**
+     * Chooses one of [partitions] for a block of tasks. A choice because of an idle machine decrements
+     * [PartitionView.idleMachines], so that the same machine does not attract a second block.
+     */
     fun choose(partitions: List<PartitionView>, spec: JobSpec, random: Random): PartitionView {
         val idle = partitions.filter { it.idleMachines > 0 }
         if (idle.isNotEmpty()) return idle[random.nextInt(idle.size)].also { it.idleMachines-- }
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
@@ -6,53 +6,62 @@
 import java.util.BitSet
 
 /**
- * The tasks of one job that belong to this partition. Each of [owned] is in one of [pending], [inDoubt],
- * [beingReassigned], [unrecordedCompletions] and [active], or done.
+ * The tasks of one job that belong to this partition. Each task of [owned] is either completed or in one of
+ * [pending], [inDoubt], [beingReassigned], [unrecordedCompletions] and [active].
  *
- * The sets are read where they are needed, also by other packages; only the partition's job book and attempt ledger
- * change them. [team] is the index of the job's team; -1: the settings name no such team.
+ * Other packages may read the sets; only the partition's job book and attempt ledger modify them. [team] is the index
+ * of the job's team, or -1 if the settings do not contain it.
  */
 class PartitionJob(val job: Job, submitted: JobSpec, val team: Int) {
     val id: String get() = job.id
 
-    /** As its user submitted it, but with the priority of the most urgent job that depends on it. */
+    /** The submitted specification, with the priority of the most urgent dependent job if that is higher. */
     var spec: JobSpec = submitted
         private set
 
     val submittedMs: Long = job.record?.submittedMs ?: 0
 
-    /** Since when it could run, by the time of day: objectives on waiting count from the end of its last dependency. */
+    /**
+     * The wall-clock time from which the job could run. Objectives on waiting time are measured from the end of its
+     * last dependency.
+     */
     val readyMs: Long = job.readyMs
 
-    /** When it has to be complete for the sake of jobs that depend on it, by the time of day; null: none has to. */
+    /**
+     * The wall-clock time by which the job has to be complete so that dependent jobs can meet their deadlines, or null
+     * if none of them has a deadline.
+     */
     val inheritedDueMs: Long? get() = job.dependencies.inheritedDueMs
 
-    // Tasks, by what is known of them.
+    // Tasks by state.
 
     val owned = BitSet()
 
-    /** May be started now. */
+    /** Tasks that may be started now. */
     val pending = BitSet()
 
-    /** A machine that has not shown this leader's fencing token yet may hold it. */
+    /** Unreconciled tasks: a machine that has not yet reported this leader's fencing token may run them. */
     val inDoubt = BitSet()
 
-    /** Leaving for another partition in a transaction whose outcome is not known yet; never started here meanwhile. */
+    /**
+     * Tasks being reassigned to another partition by a transaction whose outcome is not known yet. They are not started
+     * here until it is known.
+     */
     val beingReassigned = BitSet()
 
-    /** Reported as completed, not yet durable. */
+    /** Tasks reported as completed whose completion is not yet durable. */
     val unrecordedCompletions = BitSet()
 
-    /** The attempt that occupies a machine, by task. */
+    /** The attempts that occupy a machine, by task. */
     val active = Int2ObjectOpenHashMap<Attempt>()
 
-    /** Tasks that were stopped once because they took far longer than the others. */
+    /** Tasks that were stopped and restarted once as stragglers. */
     val restarted = BitSet()
 
     val pendingCount: Int get() = pending.cardinality()
     val pendingCores: Double get() = (pendingCount + inDoubt.cardinality()) * spec.cores
 
-    /** The job is over; what still occupies machines here is being stopped. */
+    /** Whether the job is in a terminal state. Its attempts that still occupy machines here are being stopped. */
     var finished = false
         private set
 
@@ -60,52 +69,52 @@
 
     private var failures = 0
 
-    /** No task of it is started before, since too many have failed. */
+    /** The time before which no task is started (retry backoff), since too many attempts have failed. */
     var retryAtMs = 0L
         private set
 
     // Run times.
 
-    /** How long its tasks ran that completed in this partition. */
+    /** The run times of the job's tasks that completed in this partition. */
     val runs = RunTimes()
     val expectedRunMs: Double get() = runs.meanMs ?: (spec.estimateS * MS_PER_S)
 
     private var hasStarted = false
 
-    /** No task of it has run or is placed, as far as this partition knows. */
+    /** Whether no task of the job has run or is placed, as far as this partition has observed. */
     val neverStarted: Boolean get() = !hasStarted && active.isEmpty() && job.completedTasks.isEmpty
 
-    // Its team's guaranteed quota.
+    // Guaranteed quota of the team.
 
     /**
-     * It fits into its team's guaranteed quota together with the team's more urgent and earlier jobs, so it need not wait for
-     * other teams.
+     * Whether the job is within its team's guaranteed quota: it fits into the quota together with the team's more
+     * urgent and earlier jobs. It then does not wait for jobs of other teams.
      */
     var covered = false
         private set
 
-    /** Since when [covered] has had this value. */
+    /** When [covered] last changed. */
     var coveredSinceMs = 0L
         private set
 
-    // What SchedulingQueue sorts by, as of its last sort: kept here since it sorts often.
+    // Sort keys as of the last sort of SchedulingQueue, stored here because it sorts often.
 
-    /** How many of its objectives it had missed. */
+    /** The number of the job's objectives that it had missed. */
     var missedObjectives = 0
         private set
 
-    /** Its place by its objectives; see [SchedulingQueue]. */
+    /** The rank of the job by its objectives, lower first; see [SchedulingQueue]. */
     var objectiveRank = 0
         private set
 
-    /** Core-seconds left of the whole job, in all partitions, by its user's estimate. */
+    /** The remaining core-seconds of the whole job, in all partitions, from the user's estimate. */
     var remainingCoreSeconds = 0.0
         private set
 
-    /** Where its tasks may be placed in the scheduling pass under way; null: not determined yet. */
+    /** The machines for the job's tasks in the current scheduling pass, or null if they are not determined yet. */
     var candidates: JobCandidates? = null
 
-    /** Takes the priority that jobs which depend on it lend it now; whether that is another than before. */
+    /** Applies the priority that the job now inherits from dependent jobs. Returns whether [spec] has changed. */
     fun applyInheritedPriority(): Boolean {
         val submitted = job.spec ?: return false
         val priority = minOf(submitted.priority, job.dependencies.inheritedPriority ?: submitted.priority)
@@ -114,7 +123,7 @@
         return true
     }
 
-    /** The job is over: nothing of it is started any more. */
+    /** Marks the job as being in a terminal state, so that none of its tasks is started any more. */
     fun finish() {
         finished = true
         pending.clear()
@@ -125,15 +134,15 @@
         hasStarted = true
     }
 
-    /** Counts a failed attempt; how many there are now. */
+    /** Counts a failed attempt and returns the number of failed attempts so far. */
     fun attemptFailed(): Int = ++failures
 
-    /** Too many attempts have failed: none is started before [untilMs]. */
+    /** Delays the start of further attempts until [untilMs], since too many have failed. */
     fun delayRetry(untilMs: Long) {
         retryAtMs = untilMs
     }
 
-    /** Whether [isCovered] is another answer than before. */
+    /** Sets whether the job is within its team's guaranteed quota. Returns whether that has changed. */
     fun markCovered(isCovered: Boolean, now: Long): Boolean {
         if (isCovered == covered) return false
         covered = isCovered
@@ -141,21 +150,24 @@
         return true
     }
 
-    /** For [SchedulingQueue], before it sorts. */
+    /** Updates the sort keys; called by [SchedulingQueue] before it sorts. */
     fun updateSortKeys(missedObjectives: Int, objectiveRank: Int) {
         this.missedObjectives = missedObjectives
         this.objectiveRank = objectiveRank
         remainingCoreSeconds = (spec.tasks - job.completedTasks.cardinality()) * spec.cores * spec.estimateS
     }
 
-    /** It belongs here and is not done, leaving, or on a machine as far as is known: pending unless it is in doubt. */
+    /**
+     * Whether [task] belongs to this partition and is neither completed nor being reassigned nor known to be on a
+     * machine. Such a task is pending unless it is unreconciled.
+     */
     fun isUnassigned(task: Int): Boolean = owned.get(task) &&
         !beingReassigned.get(task) &&
         !active.containsKey(task) &&
         !unrecordedCompletions.get(task) &&
         !job.completedTasks.get(task)
 
-    /** Every task of the job that is not done is pending here, and none is on a machine or may be. */
+    /** Whether all incomplete tasks of the job are pending here and no machine runs or may run any of them. */
     val allTasksPending: Boolean
         get() = active.isEmpty() &&
             inDoubt.isEmpty &&
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionView.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionView.kt
@@ -5,28 +5,31 @@
 import io.otterknot.records.QuotaAmount
 import io.otterknot.wire.JobSpec
 
-/** The partition of [zone] as any controller sees it: what its leader publishes, plus what this controller adds. */
+/** A controller's view of the partition of [zone]: what the leader publishes, plus load that this controller adds. */
 class PartitionView(val zone: String) {
-    /** Cores that its jobs ask for, divided by [cores]; published by the leader, raised here by new jobs. */
+    /**
+     * The mean load: the cores requested by the partition's jobs, divided by [cores]. The leader publishes it; [raise]
+     * adds new jobs.
+     */
     var mean = 0.0
     var cores = 0.0
 
-    /** The same of ordinary machines and of jobs that may use no others. */
+    /** The mean load of ordinary (non-spot) machines, from the jobs that may not run on spot instances. */
     var ordinaryMean = 0.0
     var ordinaryCores = 0.0
 
-    /** What teams need there beyond the partition's quota share. */
+    /** The amount of quota that each team needs in the partition beyond the partition's share. */
     var needs: Map<String, QuotaAmount> = emptyMap()
         private set
 
-    /** What rebalancing needs to know; null: the leader does not publish it. */
+    /** The input for rebalancing, or null if the leader does not publish it. */
     var pressure: PressureRecord? = null
         private set
 
-    /** Announced idle machines, as far as this controller knows. */
+    /** The number of announced idle machines, as far as this controller has been notified. */
     var idleMachines = 0
 
-    /** Takes over all that the leader of the partition has published; the announced idle machines stay as they are. */
+    /** Replaces everything that the partition's leader publishes. [idleMachines] is announced separately and stays. */
     fun update(record: PartitionLoadRecord) {
         mean = record.meanLoad
         cores = record.cores
@@ -36,17 +39,20 @@
         ordinaryCores = record.ordinaryCores
     }
 
-    /** The mean that matters to a job: free spot instances are of no use to one that must not use them. */
+    /**
+     * Returns the mean load relevant for [spec]. For a job that may not use spot instances that is the load of ordinary
+     * machines alone.
+     */
     fun meanFor(spec: JobSpec): Double = if (spec.spot) mean else maxOf(ordinaryMean, 0.0)
 
-    /** Raises the mean in this view by what [tasks] of a job will add. */
+    /** Raises the mean load in this view by the load that [tasks] tasks of [spec] will add. */
     fun raise(spec: JobSpec, tasks: Int) {
         val addedCores = tasks * maxOf(spec.cores, MIN_TASK_CORES)
         mean += addedCores / maxOf(cores, MIN_CORES)
         if (!spec.spot) ordinaryMean += addedCores / maxOf(ordinaryCores, MIN_CORES)
     }
 
-    /** A view of its own, for a choice that adds no load yet. */
+    /** Returns an independent copy for a tentative choice, without [needs] and [pressure]. */
     fun copy() = PartitionView(zone).also {
         it.mean = mean
         it.cores = cores
@@ -56,7 +62,7 @@
     }
 
     private companion object {
-        /** An empty partition counts as one small machine. */
+        /** The cores of one small machine; a partition without machines counts as having this many. */
         const val MIN_CORES = 32.0
         const val MIN_TASK_CORES = 0.1
     }
--- a/src/main/kotlin/io/otterknot/scheduling/PlacementCandidates.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PlacementCandidates.kt
@@ -3,9 +3,9 @@
 import kotlin.random.Random
 
 /**
- * The targets that the tasks of one job may be placed on, chosen among as Saqr does (section 3.2): an idle one if there
- * is any, else the power of two choices. Targets that do not fit any more are found out when they are drawn, so that
- * placing the many tasks of a job does not look at every target for each of them.
+ * The targets on which the tasks of one job may be placed. As in Saqr (section 3.2), a task is placed on an idle target
+ * if there is one, otherwise by the power of two choices. Targets that have become full are discarded when they are
+ * sampled, so that placing many tasks of a job does not check every target for each of them.
  */
 class PlacementCandidates<T : PlacementTarget>(targets: List<T>, private val fits: (T) -> Boolean) {
     private val fitting = ArrayList<T>(targets.size)
@@ -19,7 +19,10 @@
         }
     }
 
-    /** Chooses a target for a task that takes [share] of each, and adds that to its load; null: none fits. */
+    /**
+     * Chooses a target for a task that takes [share] of it, and adds that share to the target's load. Returns null if
+     * the task fits on no target.
+     */
     fun choose(random: Random, share: (T) -> Double): T? {
         val idleTarget = chooseIdle(random) ?: return chooseLessLoaded(random, share)
         idleTarget.addLoad(share(idleTarget))
@@ -36,7 +39,10 @@
         return null
     }
 
-    /** The power of two choices. While the drift is below the gap of the loads, it cannot change which is lighter. */
+    /**
+     * Chooses by the power of two choices. While the drift of the lighter target is below the difference of the two
+     * loads, the drift does not change which target is lighter.
+     */
     private fun chooseLessLoaded(random: Random, share: (T) -> Double): T? {
         val first = sample(random, excluded = null) ?: return null
         val second = sample(random, excluded = first) ?: return first.also { it.addLoad(share(it)) }
@@ -51,7 +57,9 @@
         return chosen
     }
 
-    /** One of the targets that still fit, other than [excluded], each as likely as the others; null: none. */
+    /**
+     * Samples uniformly one of the targets that still fit, other than [excluded]. Returns null if there is none.
+     */
     private fun sample(random: Random, excluded: T?): T? {
         val excludedCount = if (excluded == null) 0 else 1
         while (fitting.size > excludedCount) {
@@ -64,7 +72,7 @@
         return null
     }
 
-    /** Removes in constant time; the last element takes the place. */
+    /** Removes the element at [index] in constant time by moving the last element there. */
     private fun ArrayList<T>.removeUnordered(index: Int) {
         val last = removeAt(size - 1)
         if (index < size) this[index] = last
--- a/src/main/kotlin/io/otterknot/scheduling/PlacementLedger.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PlacementLedger.kt
@@ -1,14 +1,14 @@
 package io.otterknot.scheduling
 
-/** What the scheduler reads of a partition, and the only two ways in which it changes it. */
+/** The part of a partition that the scheduler reads; [book] and [stop] are the only changes it makes. */
 interface PlacementLedger {
     val machines: List<Machine>
     val jobs: List<PartitionJob>
 
-    /** How many more tasks of [job] its team's quota share and its own spread over zones allow here now. */
+    /** Returns how many more tasks of [job] its team's quota share and its spread over zones allow here now. */
     fun startableTasks(job: PartitionJob): Int
 
-    /** Cores that the team uses here, divided by its weight: the lower, the sooner it is served (fair share). */
+    /** Returns the cores that [team] uses here, divided by its weight. Under fair share the lowest is served first. */
     fun pressure(team: Int): Double
 
     /** Books the job's next pending task on [machine]. */
--- a/src/main/kotlin/io/otterknot/scheduling/Resources.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Resources.kt
@@ -3,7 +3,7 @@
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.MachineType
 
-/** Cores, memory and cards: what tasks take, machines have, or teams use. */
+/** An amount of cores, memory and GPUs: requested by a task, provided by a machine, or used by a team. */
 data class Resources(val cores: Double = 0.0, val memoryGb: Double = 0.0, val cards: Double = 0.0) {
     operator fun plus(other: Resources) = Resources(cores + other.cores, memoryGb + other.memoryGb, cards + other.cards)
 
@@ -15,19 +15,19 @@
     fun covers(other: Resources): Boolean = other.cores <= cores + Machine.EPSILON &&
         other.memoryGb <= memoryGb + Machine.EPSILON && other.cards <= cards + Machine.EPSILON
 
-    /** The share of [total] of whichever of the three this takes most of; what there is none of does not count. */
+    /** Returns the largest fraction of the three resources of [total] that this takes; a total of zero is ignored. */
     fun dominantShare(total: Resources): Double =
         maxOf(share(cores, total.cores), share(memoryGb, total.memoryGb), share(cards, total.cards))
 
-    private fun share(part: Double, whole: Double) = if (whole > 0) part / whole else 0.0
+    private fun share(part: Double, total: Double) = if (total > 0) part / total else 0.0
 
     companion object {
         val NONE = Resources()
 
-        /** What one task takes. */
+        /** Returns the resources that one task of [spec] requests. */
         fun of(spec: JobSpec) = Resources(spec.cores, spec.memoryGb, spec.cards)
 
-        /** What a machine has. */
+        /** Returns the resources of a machine of [type]. */
         fun of(type: MachineType) = Resources(type.cores, type.memoryGb, type.cards)
     }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/RunTimes.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/RunTimes.kt
@@ -1,6 +1,6 @@
 package io.otterknot.scheduling
 
-/** The run times of the tasks of one job that completed. */
+/** The run times of the completed tasks of one job. */
 class RunTimes {
     private var count = 0
     private var sumMs = 0.0
@@ -10,10 +10,10 @@
         sumMs += runMs
     }
 
-    /** Null while too few have completed to say. */
+    /** The mean run time in ms, or null if fewer than [MIN_COUNT] tasks have completed. */
     val meanMs: Double? get() = if (count < MIN_COUNT || sumMs <= 0) null else sumMs / count
 
-    /** How many times as long as the others a run of [runMs] is; null while too few have completed to say. */
+    /** Returns the ratio of [runMs] to the mean run time, or null if fewer than [MIN_COUNT] tasks have completed. */
     fun ratio(runMs: Long): Double? = meanMs?.let { runMs / it }
 
     private companion object {
--- a/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
@@ -6,10 +6,11 @@
 /**
  * Places the pending tasks of a partition. Does no I/O and reads no clock.
  *
- * A task that is pending fits nowhere, or it would have been placed. So when a heartbeat frees room, only its machine is
- * looked at; all machines are, once something has become pending or every [FULL_PASS_MS].
+ * A task that is still pending did not fit on any machine in the last full pass. When a heartbeat frees capacity, the
+ * scheduler therefore considers only the machine that sent it. It considers all machines in a full pass, which runs
+ * after [invalidate] and at least every [FULL_PASS_MS].
  *
- * @param wallTimeOf the time of day, in milliseconds, of a moment of the steady clock
+ * @param wallTimeOf converts a time of the monotonic clock to wall-clock time in milliseconds
  */
 class Scheduler(
     private val ledger: PlacementLedger,
@@ -21,31 +22,34 @@
     val queue = SchedulingQueue(objectives, wallTimeOf)
     private val preemptor = Preemptor(
         startableTasks = { minOf(it.pendingCount, ledger.startableTasks(it)) },
-        isPatient = { wallTimeOf(lastFullPassMs) - it.readyMs < objectives.patienceMs(it.spec) },
+        isPreemptionDelayed = { wallTimeOf(lastFullPassMs) - it.readyMs < objectives.preemptionDelayMs(it.spec) },
         stop = ledger::stop,
     )
     private var needsFullPass = true
     private var lastFullPassMs = Long.MIN_VALUE / 2
     private var lastPreemptionMs = Long.MIN_VALUE / 2
 
-    /** Some job here must not use spot instances, so those are taken first by jobs that may. */
+    /**
+     * Whether some job of the partition may not use spot instances. Jobs that may use them then prefer them, which
+     * leaves ordinary machines to that job.
+     */
     private var hasOrdinaryWork = false
 
-    /** Something has become pending, or fits where it did not: the next pass looks at all machines. */
+    /** Requests a full pass, since a task has become pending or may now fit where it did not fit before. */
     fun invalidate() {
         needsFullPass = true
         queue.invalidate()
     }
 
-    /** Places pending tasks on [machine], whose heartbeat has just come in. */
+    /** Places pending tasks on [machine] after its heartbeat, or on all machines if a full pass is due. */
     fun placeOn(machine: Machine, now: Long) {
         if (needsFullPass || now - lastFullPassMs >= FULL_PASS_MS) return placeAll(now)
         queue.refresh(ledger.jobs, now)
-        if (!machine.acceptsTasks || queue.isEmpty || !mayHaveRoom(machine)) return
+        if (!machine.acceptsTasks || queue.isEmpty || !mayHaveCapacity(machine)) return
         PlacementPass(listOf(machine), machine, now).run()
     }
 
-    /** Places one task on a machine that seems to lose responses: whether it starts tells. */
+    /** Places one task on a machine that seems to lose responses, to test whether a start command reaches it. */
     fun probe(machine: Machine, now: Long) {
         queue.refresh(ledger.jobs, now)
         for (priority in Priority.entries) {
@@ -69,31 +73,37 @@
         PlacementPass(ledger.machines.filter { it.acceptsTasks }, null, now).run()
     }
 
-    /** It has room for the smallest pending task. */
-    private fun mayHaveRoom(machine: Machine): Boolean =
-        machine.usedCores + queue.leastCores <= machine.type.cores + Machine.EPSILON
+    /** Whether [machine] has enough free cores for the smallest pending task. */
+    private fun mayHaveCapacity(machine: Machine): Boolean =
+        machine.usedCores + queue.minPendingCores <= machine.type.cores + Machine.EPSILON
 
     private fun mayStart(job: PartitionJob, now: Long): Boolean =
         !job.pending.isEmpty && job.retryAtMs <= now && ledger.startableTasks(job) > 0
 
     private fun fits(job: PartitionJob, machine: Machine, now: Long): Boolean =
-        machine.isAllowedFor(job.spec) && hasRoom(job, machine) && !machine.avoids(job.id, now)
+        machine.isAllowedFor(job.spec) && hasCapacity(job, machine) && !machine.avoids(job.id, now)
 
-    private fun hasRoom(job: PartitionJob, machine: Machine): Boolean =
-        if (queue.ignoresReservations(job)) machine.hasRoomFor(job.spec) else machine.hasUnreservedRoomFor(job.spec)
+    private fun hasCapacity(job: PartitionJob, machine: Machine): Boolean =
+        if (queue.ignoresReservations(job)) machine.hasRoomFor(job.spec) else machine.hasUnreservedCapacityFor(job.spec)
 
-    /** One pass over the queue at the moment [now], on [usable] machines; [only]: the single machine it looks at. */
+    /**
+     * One pass over the queue at time [now] that places tasks on [usable] machines. [only] is set if the pass considers
+     * a single machine.
+     */
     private inner class PlacementPass(
         private val usable: List<Machine>,
         private val only: Machine?,
         private val now: Long,
     ) {
-        /** Under overload most machines are full, and each pending job would look at all of them. */
-        private val withRoom = usable.filter(::mayHaveRoom)
+        /**
+         * The usable machines without the full ones. Under overload most machines are full, and each pending job would
+         * otherwise check all of them.
+         */
+        private val usableWithCapacity = usable.filter(::mayHaveCapacity)
 
         fun run() {
             startOverdueJobs()
-            // Work within its team's guaranteed quota need not wait for other teams.
+            // Jobs within their team's guaranteed quota do not wait for jobs of other teams.
             if (queue.coveredBeforeAll) Priority.entries.forEach { serve(queue.coveredQueues(it)) }
             val preempts = only == null && now - lastPreemptionMs >= PREEMPTION_MS
             if (preempts) lastPreemptionMs = now
@@ -105,13 +115,13 @@
         }
 
         /**
-         * Starts one task of each job that has not begun for long. Room that is reserved for more urgent work counts as
-         * free here, or the job would wait behind that work for ever.
+         * Starts one task of each overdue job. Capacity reserved for more urgent jobs counts as free here; otherwise an
+         * overdue job might never start.
          */
         private fun startOverdueJobs() {
             for (job in queue.overdue) {
                 if (!job.neverStarted || !mayStart(job, now)) continue
-                val fitting = withRoom.filter {
+                val fitting = usableWithCapacity.filter {
                     it.isAllowedFor(job.spec) && it.hasRoomFor(job.spec) && !it.avoids(job.id, now)
                 }
                 val candidates = JobCandidates(fitting, job.spec, hasOrdinaryWork) { true }
@@ -124,10 +134,10 @@
             val pending = queue.queues(priority).flatMap { teamQueue ->
                 teamQueue.jobs.filter { !it.pending.isEmpty && it.retryAtMs <= now }
             }
-            preemptor.makeRoom(priority, pending, usable, now)
+            preemptor.freeCapacity(priority, pending, usable, now)
         }
 
-        /** Serves [teamQueues] by fair share, until each has come to its end. */
+        /** Places tasks from [teamQueues] in fair-share order until every queue is exhausted. */
         private fun serve(teamQueues: List<SchedulingQueue.TeamQueue>) {
             for (teamQueue in teamQueues) teamQueue.next = 0
             while (true) {
@@ -137,7 +147,10 @@
             }
         }
 
-        /** The queue, not at its end yet, of the team that uses least for its weight; null: all are at their end. */
+        /**
+         * Returns the queue of the team with the lowest weighted usage among those that are not exhausted, or null if
+         * all are.
+         */
         private fun leastServed(teamQueues: List<SchedulingQueue.TeamQueue>): SchedulingQueue.TeamQueue? {
             var chosen: SchedulingQueue.TeamQueue? = null
             var leastPressure = Double.MAX_VALUE
@@ -152,7 +165,10 @@
             return chosen
         }
 
-        /** On a single machine, a job whose image it has may come before others that are as urgent. */
+        /**
+         * Returns the next job of [teamQueue]. In a pass over a single machine, a job whose image the machine has may
+         * precede jobs of the same rank.
+         */
         private fun nextJob(teamQueue: SchedulingQueue.TeamQueue): PartitionJob {
             if (only == null) return teamQueue.jobs[teamQueue.next]
             return teamQueue.pick { it.spec.image in only.images && mayStart(it, now) && fits(it, only, now) }
@@ -176,11 +192,14 @@
         }
 
         private fun findCandidates(job: PartitionJob) =
-            JobCandidates(withRoom, job.spec, hasOrdinaryWork) { fits(job, it, now) }
+            JobCandidates(usableWithCapacity, job.spec, hasOrdinaryWork) { fits(job, it, now) }
     }
 
     private companion object {
-        /** How long pending tasks rely on being placed by the heartbeat of the machine that frees room. */
+        /**
+         * The interval between full passes. Until the next one, pending tasks are placed only on machines whose
+         * heartbeats report freed capacity.
+         */
         const val FULL_PASS_MS = 1_000L
         const val PREEMPTION_MS = 250L
     }
--- a/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
@@ -6,34 +6,35 @@
  * The order in which the pending jobs of a partition are served:
  *
  * 1. by priority;
- * 2. among the teams of one priority by fair share (the scheduler takes turns between the [TeamQueue]s);
- * 3. within a team by [PartitionJob.objectiveRank]: what is about to miss an objective, then what has missed fewest,
- *    last what has none left to meet;
+ * 2. among the teams of one priority by fair share (the scheduler alternates between the [TeamQueue]s);
+ * 3. within a team by [PartitionJob.objectiveRank]: first jobs about to miss an objective, then jobs by the number of
+ *    missed objectives, last jobs that can no longer meet any;
  * 4. by the least remaining work, then the earliest submission, then the id.
  *
- * Sorting at every heartbeat would cost more than the placement itself, so the order is kept for [MAX_AGE_MS] unless a
- * job becomes pending.
+ * Sorting at every heartbeat would cost more than the placement itself, so the order is reused for up to [MAX_AGE_MS]
+ * unless [invalidate] is called.
  */
 class SchedulingQueue(private val objectives: ServiceLevelObjectives, private val wallTimeOf: (Long) -> Long) {
     /** The pending jobs of one [team] and priority, in order. */
     class TeamQueue(val team: Int) {
         val jobs = ArrayList<PartitionJob>()
 
-        /** The place of the job to be served next. */
+        /** The index of the job to be served next. */
         var next = 0
 
-        /** The job to be served next; null: the queue is at its end. */
+        /** The job to be served next, or null if the queue is exhausted. */
         val head: PartitionJob? get() = jobs.getOrNull(next)
 
         /**
-         * The head, or one of the next few that rank the same and are [preferred]. Strictly in order, the tasks of each
-         * job would go to all machines one after the other, and its image be fetched by each.
+         * Returns the first [preferred] job among the head and the next few jobs of the same rank, or the head if there
+         * is none. In strict order, the tasks of each job would be spread over all machines in turn and every machine
+         * would have to fetch the job's image.
          */
         fun pick(preferred: (PartitionJob) -> Boolean): PartitionJob {
             val head = jobs[next]
             if (preferred(head)) return head
-            for (place in next + 1 until minOf(jobs.size, next + LOOKAHEAD_JOBS)) {
-                val job = jobs[place]
+            for (index in next + 1 until minOf(jobs.size, next + LOOKAHEAD_JOBS)) {
+                val job = jobs[index]
                 if (job.objectiveRank != head.objectiveRank) break
                 if (preferred(job)) return job
             }
@@ -43,54 +44,58 @@
 
     private val queuesByPriority = Array(Priority.entries.size) { ArrayList<TeamQueue>() }
 
-    /** Of the jobs within their team's guaranteed quota alone. */
+    /** As [queuesByPriority], but only with jobs within their team's guaranteed quota. */
     private val coveredQueuesByPriority = Array(Priority.entries.size) { ArrayList<TeamQueue>() }
     private var sortedMs = Long.MIN_VALUE / 2
     private var isStale = true
 
-    /** The fewest cores that a pending task takes: a machine with fewer free has nothing to look for. */
-    var leastCores = 0.0
+    /** The fewest cores that any pending task requests; no pending task fits on a machine with fewer free cores. */
+    var minPendingCores = 0.0
         private set
 
     /**
-     * Jobs of which no task has started for [OVERDUE_MS]. Each gets one task before all others: with small jobs arriving
-     * all the time, the largest would never start, and best-effort work never under a steady load of urgent work.
+     * Jobs that have been ready for [OVERDUE_MS] without a started task. One task of each is placed before all other
+     * tasks. Otherwise the largest job would never start while small jobs keep arriving, and best-effort jobs would
+     * never start under a steady load of urgent jobs.
      */
     val overdue = ArrayList<PartitionJob>()
 
-    /** Work within a team's guaranteed quota goes before all other work; else only before work of its priority. */
+    /**
+     * Whether jobs within their team's guaranteed quota precede all other jobs. If not, they precede only other jobs of
+     * the same priority.
+     */
     var coveredBeforeAll = false
 
-    /** The most urgent priority of the pending jobs beyond their team's guaranteed quota; null: there are none. */
+    /** The most urgent priority among pending jobs beyond their team's guaranteed quota, or null if there are none. */
     private var mostUrgentUncovered: Priority? = null
 
-    /** Whether nothing is pending. */
-    val isEmpty: Boolean get() = leastCores == Double.MAX_VALUE
+    /** Whether no job is pending. */
+    val isEmpty: Boolean get() = minPendingCores == Double.MAX_VALUE
 
     /**
-     * Whether [job] goes before more urgent work that room is reserved for: it is within its team's guaranteed quota, and
-     * some of that work is not.
+     * Whether [job] may use capacity that is reserved for more urgent jobs. That is so if it is within its team's
+     * guaranteed quota, takes precedence because of that, and some more urgent pending job is beyond its team's quota.
      */
     fun ignoresReservations(job: PartitionJob): Boolean =
         coveredBeforeAll && job.covered && mostUrgentUncovered?.let { it < job.spec.priority } ?: false
 
-    /** Something has changed that the order depends on. */
+    /** Marks the order as stale, so that the next [refresh] sorts again. */
     fun invalidate() {
         isStale = true
     }
 
-    /** The queues of one priority, one for each team. */
+    /** Returns the queues of one priority, one for each team. */
     fun queues(priority: Priority): List<TeamQueue> = queuesByPriority[priority.ordinal]
 
-    /** The same with jobs within their team's guaranteed quota alone. */
+    /** As [queues], but only with jobs within their team's guaranteed quota. */
     fun coveredQueues(priority: Priority): List<TeamQueue> = coveredQueuesByPriority[priority.ordinal]
 
-    /** Sorts [jobs] anew if the order is out of date. */
+    /** Sorts [jobs] again if the order is stale or older than [MAX_AGE_MS]. */
     fun refresh(jobs: List<PartitionJob>, now: Long) {
         if (!isStale && now - sortedMs < MAX_AGE_MS) return
         isStale = false
         sortedMs = now
-        leastCores = Double.MAX_VALUE
+        minPendingCores = Double.MAX_VALUE
         overdue.clear()
         mostUrgentUncovered = null
         coveredQueuesByPriority.forEach { it.clear() }
@@ -99,7 +104,7 @@
     }
 
     private fun enqueue(job: PartitionJob, now: Long) {
-        leastCores = minOf(leastCores, job.spec.cores)
+        minPendingCores = minOf(minPendingCores, job.spec.cores)
         if (job.neverStarted && wallTimeOf(now) - job.readyMs > OVERDUE_MS) overdue.add(job)
         append(job, queuesByPriority)
         if (job.covered) {
@@ -115,7 +120,7 @@
         teamQueue.jobs.add(job)
     }
 
-    /** The jobs with pending tasks, in the order above but for the teams' turns. */
+    /** Returns the jobs with pending tasks in the order of this class, but without fair share between teams. */
     fun sorted(jobs: List<PartitionJob>, now: Long): List<PartitionJob> {
         val wallMs = wallTimeOf(now)
         val pending = ArrayList<PartitionJob>()
@@ -130,8 +135,9 @@
     }
 
     /**
-     * By missed objectives alone, a job late once would wait behind all that are new until it is late for good, while
-     * most of those could wait.
+     * Returns the rank of a job by its objectives, lower first. With the number of missed objectives alone, a job that
+     * has missed one would wait behind all new jobs until it has missed all of its objectives, although most of the new
+     * jobs have time left.
      */
     private fun rank(missedCount: Int, slackS: Double?): Int = when {
         slackS == null -> Int.MAX_VALUE
@@ -143,7 +149,7 @@
         const val MAX_AGE_MS = 500L
         const val LOOKAHEAD_JOBS = 10
 
-        /** An objective that would be missed this soon is about to be missed. */
+        /** A job whose next objective would be missed within this time is served first. */
         const val IMMINENT_S = 30.0
         const val OVERDUE_MS = 90_000L
         val ORDER = compareBy<PartitionJob> { it.spec.priority }
--- a/src/main/kotlin/io/otterknot/scheduling/ServiceLevelObjective.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/ServiceLevelObjective.kt
@@ -2,25 +2,25 @@
 
 import io.otterknot.config.ObjectiveSettings
 
-/** What the operators ask for a class of jobs; other objectives of theirs do not concern scheduling. */
+/** A service level objective for a class of jobs, of one of the kinds that affect scheduling. */
 sealed interface ServiceLevelObjective {
-    /** So large a [share] of the tasks has started [withinS] seconds after the submission. */
+    /** At least this [share] of the tasks starts within [withinS] seconds after the job is ready to run. */
     data class Started(val withinS: Double, val share: Double) : ServiceLevelObjective
 
-    /** The job is complete [withinS] seconds after the submission. */
+    /** The job is complete within [withinS] seconds after it is ready to run. */
     data class Finished(val withinS: Double) : ServiceLevelObjective
 
-    /** The job is complete by so many [times] its deadline. */
+    /** The job is complete within [times] times its deadline, measured from the submission. */
     data class Deadline(val times: Double) : ServiceLevelObjective
 }
 
-/** The objectives of each class of jobs, from the settings. */
+/** Returns the objectives that affect scheduling, by job class. */
 fun objectivesByJobClass(objectives: List<ObjectiveSettings>): Map<String, List<ServiceLevelObjective>> = objectives
     .filter { it.jobClass != null }
     .groupBy { it.jobClass.orEmpty() }
     .mapValues { (_, ofClass) -> ofClass.mapNotNull(::toObjective) }
 
-/** Null: of a kind that does not concern scheduling, or one that this version does not know. */
+/** Converts [settings], or returns null if their kind does not affect scheduling or is unknown to this version. */
 private fun toObjective(settings: ObjectiveSettings): ServiceLevelObjective? = when (settings.kind) {
     KIND_STARTED -> settings.withinS?.let { ServiceLevelObjective.Started(it, settings.share ?: DEFAULT_SHARE) }
     KIND_FINISHED -> settings.withinS?.let(ServiceLevelObjective::Finished)
--- a/src/main/kotlin/io/otterknot/scheduling/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/ServiceLevelObjectives.kt
@@ -3,14 +3,17 @@
 import io.otterknot.wire.JobSpec
 
 /**
- * The operators' objectives by class of jobs. When more is asked than can be done, serving in order of arrival would
- * make every job late; what a job has missed, and what it is about to miss, decide when it is served.
+ * The operators' objectives by job class. Under overload, serving jobs in order of arrival would make every job late,
+ * so the objectives that a job has missed or is about to miss determine when it is served.
  */
 class ServiceLevelObjectives(private val byJobClass: Map<String, List<ServiceLevelObjective>>) {
-    /** How many of its objectives a job has missed at [wallMs], if it is still pending then. */
+    /** Returns the number of objectives that [job] has missed if it is still pending at [wallMs]. */
     fun missed(job: PartitionJob, wallMs: Long): Int = latestStartsMs(job).count { wallMs > it }
 
-    /** Seconds until a job that is pending at [wallMs] misses its next objective; null: it has missed all of them. */
+    /**
+     * Returns the seconds until [job], if it is still pending at [wallMs], misses its next objective, or null if it has
+     * missed all of them. A job without objectives has unlimited slack.
+     */
     fun slackS(job: PartitionJob, wallMs: Long): Double? {
         val latestStartsMs = latestStartsMs(job)
         if (latestStartsMs.isEmpty()) return Double.MAX_VALUE
@@ -18,8 +21,8 @@
     }
 
     /**
-     * When, by the time of day, pending tasks of a job have to start so that each of its objectives is met, and the
-     * deadlines of jobs that depend on it.
+     * Returns the latest wall-clock times at which pending tasks of [job] have to start: one for each of its objectives
+     * and, if dependent jobs have deadlines, one for those.
      */
     private fun latestStartsMs(job: PartitionJob): List<Double> {
         val likelyRunS = job.spec.estimateS * LIKELY_SHARE_OF_ESTIMATE
@@ -41,22 +44,23 @@
         }
 
     /**
-     * How long a pending task lets lower work finish by itself, reserved room filling up meanwhile, before it has some
-     * preempted: a share of the tightest wait asked for, since what is preempted has run for nothing.
+     * Returns how long a pending task of [spec] waits before it preempts tasks of lower priority. In the meantime
+     * capacity freed by finishing tasks is reserved for it. The delay is a share of the job's shortest start objective.
+     * It gives running tasks time to finish, since the work of a preempted task is lost.
      */
-    fun patienceMs(spec: JobSpec): Long {
-        val tightestWaitS = waits(spec).minOfOrNull { it.withinS } ?: DEFAULT_WAIT_S
-        return (tightestWaitS * PATIENCE_SHARE * MS_PER_S).toLong()
+    fun preemptionDelayMs(spec: JobSpec): Long {
+        val shortestWaitS = startObjectives(spec).minOfOrNull { it.withinS } ?: DEFAULT_WAIT_S
+        return (shortestWaitS * PREEMPTION_DELAY_SHARE * MS_PER_S).toLong()
     }
 
     /**
-     * The share of such jobs that have to start sooner than a machine boots ([bootS]), so that machines must be there in
-     * advance; 0 where all may wait for a boot.
+     * Returns the share of such jobs that has to start before a new machine has booted ([bootS] seconds), so that
+     * capacity has to be available in advance; 0 if all of them may wait for a boot.
      */
     fun readyShare(spec: JobSpec, bootS: Double): Double =
-        waits(spec).filter { it.withinS < bootS }.maxOfOrNull { it.share } ?: 0.0
+        startObjectives(spec).filter { it.withinS < bootS }.maxOfOrNull { it.share } ?: 0.0
 
-    private fun waits(spec: JobSpec): List<ServiceLevelObjective.Started> =
+    private fun startObjectives(spec: JobSpec): List<ServiceLevelObjective.Started> =
         ofClass(spec).filterIsInstance<ServiceLevelObjective.Started>()
 
     private fun ofClass(spec: JobSpec): List<ServiceLevelObjective> = byJobClass[spec.jobClass].orEmpty()
@@ -64,10 +68,13 @@
     private companion object {
         const val MS_PER_S = 1000.0
         const val NEVER = Double.MAX_VALUE
-        const val PATIENCE_SHARE = 0.3
+        const val PREEMPTION_DELAY_SHARE = 0.3
         const val DEFAULT_WAIT_S = 10.0
 
-        /** Users' estimates are often wrong by half: a job is given up on only when even that would not do. */
+        /**
+         * The share of the user's estimate that is assumed as the run time. Users' estimates are often wrong by half,
+         * so an objective counts as missed only if even a run time well below the estimate would miss it.
+         */
         const val LIKELY_SHARE_OF_ESTIMATE = 0.6
     }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/Slowness.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Slowness.kt
@@ -1,17 +1,18 @@
 package io.otterknot.scheduling
 
 /**
- * How slow a machine is, by the run times of its tasks against those of the same job on other machines: tasks of one job
- * differ, so one long run says little, and several in a row much. An exponentially weighted mean.
+ * Estimates how slow a machine is, as an exponentially weighted mean of the run times of its tasks relative to tasks of
+ * the same job on other machines. Tasks of one job differ, so a single long run is weak evidence and several
+ * consecutive ones are strong evidence.
  */
 class Slowness {
-    /** How many times as long as on other machines its tasks take. */
+    /** The estimated run time of tasks on this machine relative to other machines. */
     var ratio = 1.0
         private set
 
     val isSlow: Boolean get() = ratio > SLOW_RATIO
 
-    /** A task took [taskRatio] times as long as its like. */
+    /** Adds a task that took [taskRatio] times as long as the mean of its job. */
     fun add(taskRatio: Double) {
         ratio += (minOf(taskRatio, MAX_TASK_RATIO) - ratio) * WEIGHT
     }
--- a/src/test/kotlin/io/otterknot/scheduling/PartitionChooserTest.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/PartitionChooserTest.kt
@@ -8,7 +8,7 @@
 
 class PartitionChooserTest {
     @Test
-    fun `partition with an announced idle machine is chosen first and has one less afterwards`() {
+    fun `partition with an announced idle machine is chosen first and its idle count is decremented`() {
         val partitions = partitionViews(0.9, 0.1, 0.1)
         partitions[0].idleMachines = 1
         assertEquals("z0", PartitionChooser.choose(partitions, jobSpec(1), Random(3)).zone)
@@ -16,14 +16,14 @@
     }
 
     @Test
-    fun `of two partitions the one of lower mean load is chosen`() {
+    fun `partition with the lower mean load is chosen of two`() {
         repeat(20) { seed ->
             assertEquals("z1", PartitionChooser.choose(partitionViews(0.9, 0.1), jobSpec(1), Random(seed)).zone)
         }
     }
 
     @Test
-    fun `tasks of a large job are dealt to all partitions in similar numbers`() {
+    fun `tasks of a large job are distributed roughly evenly over all partitions`() {
         val spans = PartitionChooser.deal(jobSpec(300), partitionViews(0.0, 0.0, 0.0), Random(5))
         val taskCounts = spans.map { it.until - it.from }
         assertEquals(300, taskCounts.sum())
@@ -32,19 +32,19 @@
     }
 
     @Test
-    fun `tasks of a job that needs a single zone are dealt to one partition`() {
+    fun `tasks of a job that requires a single zone are placed in one partition`() {
         val spec = jobSpec(30, sameZone = true)
         assertEquals(1, PartitionChooser.deal(spec, partitionViews(0.0, 0.0), Random(1)).size)
     }
 
     @Test
-    fun `tasks of a job that names its zone are dealt to the partition of that zone`() {
+    fun `tasks of a job with a given zone are placed in the partition of that zone`() {
         val spec = jobSpec(30, zone = "z1")
         val spans = PartitionChooser.deal(spec, partitionViews(0.0, 0.0), Random(1))
         assertEquals(listOf(TaskSpan("z1", 0, 30)), spans)
     }
 
-    /** Partitions `z0`, `z1` and so on of 64 cores each, with these mean loads. */
+    /** Creates partitions `z0`, `z1`, ... of 64 cores each with the given mean loads. */
     private fun partitionViews(vararg meanLoads: Double) = meanLoads.mapIndexed { index, meanLoad ->
         PartitionView("z$index").apply {
             mean = meanLoad
--- a/src/test/kotlin/io/otterknot/scheduling/PlacementCandidatesTest.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/PlacementCandidatesTest.kt
@@ -12,7 +12,7 @@
         fun toTarget() = PlacementTarget(load, drift)
     }
 
-    /** A choice among [targets] for a task of [share]; [loadAfter] is what the chosen one shows then. */
+    /** A choice among [targets] for a task of [share]; [loadAfter] is the expected load of the chosen target. */
     data class Choice(
         val targets: List<TargetLoad>,
         val share: Double,
@@ -22,7 +22,7 @@
 
     @ParameterizedTest
     @MethodSource("lighterByLoad", "lighterByDriftedLoad")
-    fun `of two targets the lighter one by load and drift is chosen`(choice: Choice) {
+    fun `target with the lower load including drift is chosen of two`(choice: Choice) {
         for (seed in 1L..8L) {
             val targets = choice.targets.map { it.toTarget() }
             val chosen = PlacementCandidates(targets) { true }.choose(Random(seed)) { choice.share }
@@ -33,7 +33,7 @@
     }
 
     @Test
-    fun `idle target is chosen before others and is not idle afterwards`() {
+    fun `idle target is chosen first and is no longer idle afterwards`() {
         val idle = PlacementTarget(idle = true)
         val targets = listOf(PlacementTarget(0.0), idle, PlacementTarget(0.1))
 
@@ -51,12 +51,12 @@
     }
 
     @Test
-    fun `no target is chosen where there is none`() {
+    fun `no target is chosen if there are none`() {
         assertEquals(null, PlacementCandidates(emptyList<PlacementTarget>()) { true }.choose(Random(1)) { 0.1 })
     }
 
     @Test
-    fun `target that no longer fits is skipped and the others stay equally likely`() {
+    fun `target that no longer fits is skipped and the others remain equally likely`() {
         val targets = List(5) { PlacementTarget(0.5) }
         val full = HashSet<PlacementTarget>()
         val timesChosen = HashMap<Int, Int>()
@@ -77,7 +77,7 @@
     }
 
     private companion object {
-        /** The drift of the lighter target is below the gap of the loads: only its drift grows. */
+        /** The drift of the lighter target is below the difference of the loads, so the task is added to its drift. */
         @JvmStatic
         fun lighterByLoad() = listOf(
             Choice(
@@ -94,7 +94,7 @@
             ),
         )
 
-        /** The drift has closed the gap: the lower sum is chosen, and its drift becomes part of its load. */
+        /** The drift reaches the difference of the loads: the lower sum is chosen, its drift added to its load. */
         @JvmStatic
         fun lighterByDriftedLoad() = listOf(
             Choice(
--- a/src/test/kotlin/io/otterknot/scheduling/SchedulingFixture.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/SchedulingFixture.kt
@@ -6,7 +6,7 @@
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.Priority
 
-/** A job of class `k`; [sameZone] and [zone] restrict the partitions that its tasks may go to. */
+/** Creates a job of class `k`; [sameZone] and [zone] restrict the partitions in which its tasks may be placed. */
 internal fun jobSpec(tasks: Int, sameZone: Boolean = false, zone: String? = null) = JobSpec(
     id = "j-000001",
     jobClass = "k",
@@ -24,7 +24,7 @@
     dueS = 60.0,
 )
 
-/** A recorded job of which no task has started. */
+/** Creates a recorded job of which no task has started. */
 internal fun waitingJob(spec: JobSpec, submittedMs: Long): PartitionJob {
     val job = Job(spec.id)
     job.applyRecord(JobRecord(spec, submittedMs = submittedMs))
--- a/src/test/kotlin/io/otterknot/scheduling/SchedulingQueueTest.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/SchedulingQueueTest.kt
@@ -8,7 +8,10 @@
         mapOf("k" to listOf(ServiceLevelObjective.Deadline(1.0), ServiceLevelObjective.Started(180.0, 0.9))),
     )
 
-    /** By missed objectives alone, a job late once would wait behind all new ones until it has missed all it had. */
+    /**
+     * Guards against sorting by the number of missed objectives alone: a job that has missed one would then wait behind
+     * all new jobs until it has missed all of its objectives.
+     */
     @Test
     fun `jobs are sorted by the next objective at risk, then by missed objectives, then by least work`() {
         val jobs = listOf(
--- a/src/test/kotlin/io/otterknot/scheduling/ServiceLevelObjectivesTest.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/ServiceLevelObjectivesTest.kt
@@ -20,7 +20,7 @@
 
     @ParameterizedTest
     @CsvSource("1,0", "9,1", "25,2", "53,2", "56,4", "70,4", "95,5")
-    fun `waiting job misses more objectives with its age`(ageS: Long, missed: Int) {
+    fun `waiting job misses more objectives as it ages`(ageS: Long, missed: Int) {
         assertEquals(missed, objectives.missed(waitingJob(jobSpec(1), 0), ageS * 1000))
     }
 
@@ -31,12 +31,12 @@
     }
 
     @Test
-    fun `share to start without a boot is that of the objective shorter than the boot`() {
+    fun `ready share is that of the objective shorter than the boot time`() {
         assertEquals(0.9, objectives.readyShare(jobSpec(1), 30.0))
     }
 
     @Test
-    fun `no job has to start without a boot where every objective is longer than the boot`() {
+    fun `ready share is zero if every objective is longer than the boot time`() {
         assertEquals(0.0, objectives.readyShare(jobSpec(1), 5.0))
     }
 }
