--- a/src/main/kotlin/io/otterknot/partition/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -136,11 +136,11 @@
      * Sets which jobs are within their team's guaranteed quota: they are placed before others, whatever their priority
      * with [beforeAll], and are not stopped for work that is not.
      */
-    fun markCovered(now: Long, beforeAll: Boolean, isCovered: (PartitionJob) -> Boolean) {
-        var hasChanged = scheduler.queue.coveredBeforeAll != beforeAll
-        scheduler.queue.coveredBeforeAll = beforeAll
+    fun markWithinGuarantee(now: Long, beforeAll: Boolean, withinGuarantee: (PartitionJob) -> Boolean) {
+        var hasChanged = scheduler.queue.guaranteedBeforeAll != beforeAll
+        scheduler.queue.guaranteedBeforeAll = beforeAll
         for (job in jobs) {
-            if (job.markCovered(isCovered(job), now)) hasChanged = true
+            if (job.markWithinGuarantee(withinGuarantee(job), now)) hasChanged = true
         }
         if (hasChanged) trigger.requestFullPass()
     }
--- a/src/main/kotlin/io/otterknot/rebalance/GuaranteePlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/GuaranteePlanner.kt
@@ -21,7 +21,7 @@
         fun plan(): MovePlan {
             val coresFreedSoon = coresFreedWithinMargin()
             var requestedCores = 0.0
-            for (job in snapshot.waiting.filter { it.covered && it.startable > 0 }) {
+            for (job in snapshot.waiting.filter { it.isWithinGuarantee && it.startable > 0 }) {
                 requestedCores += job.startable * job.spec.cores
                 val refusal = refusalReason(job, capacityExpectedSoon = requestedCores <= coresFreedSoon)
                 if (refusal != null) {
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
@@ -75,7 +75,7 @@
         for (rebalancer in rebalancers.values) rebalancer.close(nowMs())
         rebalancers.clear()
         for (partition in host.partitions.values) {
-            partition.markCovered(nowMs(), beforeAll = false) { false }
+            partition.markWithinGuarantee(nowMs(), beforeAll = false) { false }
             if (!wanted.isOn) partition.waitingWork.unfollow()
         }
     }
@@ -84,7 +84,7 @@
         val now = nowMs()
         reconcileRebalancers(now)
         if (rebalancers.isEmpty()) return
-        markCovered(now)
+        markWithinGuarantee(now)
         val cluster = pressureTracker.clusterPressure()
         ledZones = host.views.keys.filter(host::hasLeader)
         for (rebalancer in rebalancers.values) {
@@ -112,13 +112,13 @@
 
     private fun targets(spec: JobSpec): List<String> = ledZones.filter { host.offers(it, spec) }
 
-    private fun markCovered(now: Long) {
+    private fun markWithinGuarantee(now: Long) {
         val isUsed = activeSettings.mode == LoadSpreadMode.ACT && activeSettings.guarantees && !quotaCoverage.isEmpty
         if (!isUsed || now - coverageUpdatedMs < COVERAGE_INTERVAL_MS) return
         coverageUpdatedMs = now
-        val covered = quotaCoverage.covered(host.liveJobs.mapNotNull(UnfinishedJob::of))
+        val withinGuarantee = quotaCoverage.withinGuarantee(host.liveJobs.mapNotNull(UnfinishedJob::of))
         for (partition in host.partitions.values) {
-            partition.markCovered(now, activeSettings.anyPriority) { it.id in covered }
+            partition.markWithinGuarantee(now, activeSettings.anyPriority) { it.id in withinGuarantee }
         }
     }
 
--- a/src/main/kotlin/io/otterknot/rebalance/MachineCapacity.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MachineCapacity.kt
@@ -33,7 +33,7 @@
     }
 
     private fun isStoppable(task: RunningTask, job: WaitingJob): Boolean {
-        val isProtected = task.covered || task.isExemptFromStop || task.isCoolingDown
+        val isProtected = task.isWithinGuarantee || task.isExemptFromStop || task.isCoolingDown
         val isPlanned = task.attempt in stoppedAttempts
         if (task.team == job.team || isProtected || isPlanned) return false
         val isPriorityLowEnough = settings.anyPriority || task.priority >= job.spec.priority
--- a/src/main/kotlin/io/otterknot/rebalance/QuotaCoverage.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/QuotaCoverage.kt
@@ -15,8 +15,8 @@
     val isEmpty: Boolean get() = guarantees.isEmpty()
 
     /** The ids of the jobs within their team's guarantee. */
-    fun covered(jobs: Collection<UnfinishedJob>): Set<String> {
-        val covered = HashSet<String>()
+    fun withinGuarantee(jobs: Collection<UnfinishedJob>): Set<String> {
+        val withinGuarantee = HashSet<String>()
         for ((team, ofTeam) in jobs.groupBy { it.team }) {
             val guarantee = guarantees[team] ?: continue
             val inOrder = ofTeam.sortedWith(MOST_URGENT_FIRST)
@@ -24,10 +24,10 @@
             for (job in inOrder) {
                 taken += job.amount
                 if (!fits(taken, guarantee)) break
-                covered.add(job.id)
+                withinGuarantee.add(job.id)
             }
         }
-        return covered
+        return withinGuarantee
     }
 
     private fun fits(taken: QuotaAmount, guarantee: TeamSettings): Boolean =
--- a/src/main/kotlin/io/otterknot/rebalance/RunningTask.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/RunningTask.kt
@@ -8,7 +8,7 @@
     val spec: JobSpec,
     val task: Int,
     val attempt: Long,
-    val covered: Boolean,
+    val isWithinGuarantee: Boolean,
     val elapsedS: Double,
     val remainingS: Double,
     /** Told to stop, saving, or kept for some reason: it is left alone. */
--- a/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
@@ -36,7 +36,7 @@
         examinedItems += inOrder.size
         history.recordArrivals(inOrder, now, wallMs)
         val waiting = examined(inOrder).map { waiting(partition, it, history, now, wallMs) }
-        val needsStops = settings.guarantees && waiting.any { it.covered && it.startable > 0 }
+        val needsStops = settings.guarantees && waiting.any { it.isWithinGuarantee && it.startable > 0 }
         val machines = machines(partition, needsStops).map { machine(it, history, now) }
         val running = if (machines.isEmpty()) emptyList() else running(partition)
         return PlannerSnapshot(
@@ -54,9 +54,9 @@
 
     /** The jobs that a plan examines: those within a guarantee, and the most urgent others. */
     private fun examined(inOrder: List<PartitionJob>): List<PartitionJob> {
-        val covered = inOrder.filter { it.covered }.take(settings.examinedJobs)
-        val others = inOrder.filterNot { it.covered }.take(settings.examinedJobs)
-        return covered + others
+        val withinGuarantee = inOrder.filter { it.isWithinGuarantee }.take(settings.examinedJobs)
+        val others = inOrder.filterNot { it.isWithinGuarantee }.take(settings.examinedJobs)
+        return withinGuarantee + others
     }
 
     private fun waiting(partition: Partition, job: PartitionJob, history: MoveHistory, now: Long, wallMs: Long) =
@@ -64,7 +64,7 @@
             spec = job.spec,
             waiting = job.pendingCount,
             startable = startableTasks(partition, job, now),
-            covered = job.covered,
+            isWithinGuarantee = job.isWithinGuarantee,
             waitedS = (wallMs - job.readyMs) / 1000.0,
             isEntirelyPending = job.allTasksPending,
             secondsSinceArrival = history.secondsSinceArrival(job.id, now),
@@ -117,7 +117,7 @@
             spec = job.spec,
             task = attempt.task,
             attempt = attempt.id,
-            covered = job.covered,
+            isWithinGuarantee = job.isWithinGuarantee,
             elapsedS = if (runs) (now - attempt.phaseSinceMs) / 1000.0 else 0.0,
             remainingS = maxOf(0.0, attempt.expectedRemainingMs(now) / 1000),
             isExemptFromStop = isExemptFromStop(attempt),
--- a/src/main/kotlin/io/otterknot/rebalance/WaitingJob.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitingJob.kt
@@ -8,7 +8,7 @@
     val waiting: Int,
     /** How many of them the team's limit and the job's own spread allow now. */
     val startable: Int,
-    val covered: Boolean,
+    val isWithinGuarantee: Boolean,
     val waitedS: Double,
     /** None of it is on a machine or may be, so that it can be moved as a whole. */
     val isEntirelyPending: Boolean,
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
@@ -90,11 +90,11 @@
      * Whether the job is within its team's guaranteed quota: it fits into the quota together with the team's more
      * urgent and earlier jobs. It then does not wait for jobs of other teams.
      */
-    var covered = false
+    var isWithinGuarantee = false
         private set
 
-    /** When [covered] last changed. */
-    var coveredSinceMs = 0L
+    /** When [isWithinGuarantee] last changed. */
+    var guaranteeStatusSinceMs = 0L
         private set
 
     // Sort keys as of the last sort of SchedulingQueue, stored here because it sorts often.
@@ -143,10 +143,10 @@
     }
 
     /** Sets whether the job is within its team's guaranteed quota. Returns whether that has changed. */
-    fun markCovered(isCovered: Boolean, now: Long): Boolean {
-        if (isCovered == covered) return false
-        covered = isCovered
-        coveredSinceMs = now
+    fun markWithinGuarantee(withinGuarantee: Boolean, now: Long): Boolean {
+        if (withinGuarantee == isWithinGuarantee) return false
+        isWithinGuarantee = withinGuarantee
+        guaranteeStatusSinceMs = now
         return true
     }
 
--- a/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
@@ -112,7 +112,7 @@
 
         private fun mayStop(attempt: Attempt, job: PartitionJob): Boolean {
             if (attempt.stopping || !attempt.occupiesMachine) return false
-            return !attempt.job.covered || mayStopCovered(job)
+            return !attempt.job.isWithinGuarantee || mayPreemptGuaranteed(job)
         }
 
         /**
@@ -120,8 +120,8 @@
          * been within its own team's guaranteed quota for some time; until then it relies on capacity that becomes
          * free, which it gets first.
          */
-        private fun mayStopCovered(job: PartitionJob): Boolean =
-            job.covered && now - job.coveredSinceMs >= COVERED_PATIENCE_MS
+        private fun mayPreemptGuaranteed(job: PartitionJob): Boolean =
+            job.isWithinGuarantee && now - job.guaranteeStatusSinceMs >= GUARANTEE_PREEMPTION_DELAY_MS
 
         private fun cost(victims: List<Attempt>, machine: Machine, spec: JobSpec): Double =
             victims.sumOf(::lostWork) + fetchCost(machine, spec)
@@ -152,6 +152,6 @@
          * the whole job miss them.
          */
         const val ON_TIME_WEIGHT = 3.0
-        const val COVERED_PATIENCE_MS = 2_500L
+        const val GUARANTEE_PREEMPTION_DELAY_MS = 2_500L
     }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
@@ -104,11 +104,11 @@
         fun run() {
             startOverdueJobs()
             // Jobs within their team's guaranteed quota do not wait for jobs of other teams.
-            if (queue.coveredBeforeAll) Priority.entries.forEach { serve(queue.coveredQueues(it)) }
+            if (queue.guaranteedBeforeAll) Priority.entries.forEach { serve(queue.guaranteedQueues(it)) }
             val preempts = only == null && now - lastPreemptionMs >= PREEMPTION_MS
             if (preempts) lastPreemptionMs = now
             for (priority in Priority.entries) {
-                serve(queue.coveredQueues(priority))
+                serve(queue.guaranteedQueues(priority))
                 serve(queue.queues(priority))
                 if (preempts && priority < Priority.BEST_EFFORT) preemptFor(priority)
             }
--- a/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
@@ -45,7 +45,7 @@
     private val queuesByPriority = Array(Priority.entries.size) { ArrayList<TeamQueue>() }
 
     /** As [queuesByPriority], but only with jobs within their team's guaranteed quota. */
-    private val coveredQueuesByPriority = Array(Priority.entries.size) { ArrayList<TeamQueue>() }
+    private val guaranteedQueuesByPriority = Array(Priority.entries.size) { ArrayList<TeamQueue>() }
     private var sortedMs = Long.MIN_VALUE / 2
     private var isStale = true
 
@@ -64,10 +64,10 @@
      * Whether jobs within their team's guaranteed quota precede all other jobs. If not, they precede only other jobs of
      * the same priority.
      */
-    var coveredBeforeAll = false
+    var guaranteedBeforeAll = false
 
     /** The most urgent priority among pending jobs beyond their team's guaranteed quota, or null if there are none. */
-    private var mostUrgentUncovered: Priority? = null
+    private var mostUrgentBeyondGuarantee: Priority? = null
 
     /** Whether no job is pending. */
     val isEmpty: Boolean get() = minPendingCores == Double.MAX_VALUE
@@ -76,8 +76,8 @@
      * Whether [job] may use capacity that is reserved for more urgent jobs. That is so if it is within its team's
      * guaranteed quota, takes precedence because of that, and some more urgent pending job is beyond its team's quota.
      */
-    fun ignoresReservations(job: PartitionJob): Boolean =
-        coveredBeforeAll && job.covered && mostUrgentUncovered?.let { it < job.spec.priority } ?: false
+    fun ignoresReservations(job: PartitionJob): Boolean = guaranteedBeforeAll && job.isWithinGuarantee &&
+        mostUrgentBeyondGuarantee?.let { it < job.spec.priority } ?: false
 
     /** Marks the order as stale, so that the next [refresh] sorts again. */
     fun invalidate() {
@@ -88,7 +88,7 @@
     fun queues(priority: Priority): List<TeamQueue> = queuesByPriority[priority.ordinal]
 
     /** As [queues], but only with jobs within their team's guaranteed quota. */
-    fun coveredQueues(priority: Priority): List<TeamQueue> = coveredQueuesByPriority[priority.ordinal]
+    fun guaranteedQueues(priority: Priority): List<TeamQueue> = guaranteedQueuesByPriority[priority.ordinal]
 
     /** Sorts [jobs] again if the order is stale or older than [MAX_AGE_MS]. */
     fun refresh(jobs: List<PartitionJob>, now: Long) {
@@ -97,8 +97,8 @@
         sortedMs = now
         minPendingCores = Double.MAX_VALUE
         overdue.clear()
-        mostUrgentUncovered = null
-        coveredQueuesByPriority.forEach { it.clear() }
+        mostUrgentBeyondGuarantee = null
+        guaranteedQueuesByPriority.forEach { it.clear() }
         queuesByPriority.forEach { it.clear() }
         for (job in sorted(jobs, now)) enqueue(job, now)
     }
@@ -107,10 +107,10 @@
         minPendingCores = minOf(minPendingCores, job.spec.cores)
         if (job.neverStarted && wallTimeOf(now) - job.readyMs > OVERDUE_MS) overdue.add(job)
         append(job, queuesByPriority)
-        if (job.covered) {
-            append(job, coveredQueuesByPriority)
+        if (job.isWithinGuarantee) {
+            append(job, guaranteedQueuesByPriority)
         } else {
-            mostUrgentUncovered = listOfNotNull(mostUrgentUncovered, job.spec.priority).min()
+            mostUrgentBeyondGuarantee = listOfNotNull(mostUrgentBeyondGuarantee, job.spec.priority).min()
         }
     }
 
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
@@ -90,7 +90,7 @@
         val (first, second) = fill().getValue("m1")
         partition.updateJob(job(2, 1, "blue", Priority.BEST_EFFORT), inherited = false)
         partition.updateJob(job(3, 2, "red", Priority.PRODUCTION), inherited = false)
-        partition.markCovered(1, beforeAll = true) { it.id == "j-000002" }
+        partition.markWithinGuarantee(1, beforeAll = true) { it.id == "j-000002" }
         val move = move(first)
         assertEquals(MoveState.STOPPING, move.state)
         val halts = partition.hear("m1", 3_000, first.shown(), second.shown())
@@ -108,7 +108,7 @@
         val (ends, stays) = fill().getValue("m1")
         partition.updateJob(job(2, 1, "blue", Priority.NORMAL), inherited = false)
         partition.updateJob(job(3, 1, "red", Priority.HIGH), inherited = false)
-        partition.markCovered(1, beforeAll) { it.id == "j-000002" }
+        partition.markWithinGuarantee(1, beforeAll) { it.id == "j-000002" }
         val commands = partition.hear("m1", 4_000, ends.shown(TaskState.EXITED, ExitCause.DONE), stays.shown())
         assertEquals(first, commands.single { it.op == CommandOperation.START }.task)
     }
@@ -241,7 +241,7 @@
     @Test
     fun `more urgent work that is not within a guarantee does not stop work that is`() {
         fill()
-        partition.markCovered(1, beforeAll = true) { it.id == "j-000001" }
+        partition.markWithinGuarantee(1, beforeAll = true) { it.id == "j-000001" }
         partition.updateJob(job(4, 1, "blue", Priority.PRODUCTION), inherited = false)
         for (now in 4_000L..9_000L step 250) partition.sweep(now)
         assertTrue(partition.machines.flatMap { it.attempts.values }.none { it.stopping })
@@ -260,7 +260,7 @@
         partition.waitingWork.follow(partition.jobs)
         val starts = names.associateWith { name -> partition.hear(name, 10).filter { it.op == CommandOperation.START } }
         partition.updateJob(job(2, 10, "blue"), inherited = false)
-        partition.markCovered(1, beforeAll = true) { it.id == "j-000002" }
+        partition.markWithinGuarantee(1, beforeAll = true) { it.id == "j-000002" }
         val settings = LoadSpreadSettings(LoadSpreadMode.ACT, patienceS = 0.0)
         val pressureTracker = PressureTracker(teams, mapOf("a" to partition), mapOf("a" to PartitionView("a")))
         val builder = SnapshotBuilder(settings, { listOf("a") }, Random(1))
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
@@ -63,11 +63,15 @@
             job("second", "red", 20, 4.0),
             job("none", "blue", 5, 1.0),
         )
-        assertEquals(setOf("first", "second"), cover.covered(jobs))
-        assertEquals(setOf("first"), cover.covered(jobs + job("early", "red", 15, 8.0)))
+        assertEquals(setOf("first", "second"), cover.withinGuarantee(jobs))
+        assertEquals(setOf("first"), cover.withinGuarantee(jobs + job("early", "red", 15, 8.0)))
         val urgent = job("urgent", "red", 40, 5.0, priority = Priority.HIGH)
-        assertEquals(setOf("urgent"), cover.covered(jobs + urgent), "the team's own most urgent work comes first")
-        assertEquals(emptySet<String>(), cover.covered(listOf(job("card", "red", 1, 1.0, cards = 1.0))))
+        assertEquals(
+            setOf("urgent"),
+            cover.withinGuarantee(jobs + urgent),
+            "the team's own most urgent work comes first",
+        )
+        assertEquals(emptySet<String>(), cover.withinGuarantee(listOf(job("card", "red", 1, 1.0, cards = 1.0))))
     }
 
     @ParameterizedTest
@@ -129,7 +133,7 @@
         val settings =
             LoadSpreadSettings(anyPriority = true, partitionStopShare = share, teamStopShare = 0.1, jobStopShare = 1.0)
         val machines = (1..25).map { machine(it, redTasks(it)) }
-        val waiting = listOf(covered(20))
+        val waiting = listOf(jobWithinGuarantee(20))
         val plan = MovePlanner(settings).plan(snapshot(waiting, machines, lostWorkBudgetCoreS = budget, running = 100))
         assertEquals(stops, plan.moves.filterIsInstance<Move.Stop>().size)
     }
@@ -160,7 +164,7 @@
             secondsSinceArrival = secondsSinceArrival,
         )
 
-        fun covered(tasks: Int, waitedS: Double = 5.0, priority: Priority = Priority.NORMAL) = WaitingJob(
+        fun jobWithinGuarantee(tasks: Int, waitedS: Double = 5.0, priority: Priority = Priority.NORMAL) = WaitingJob(
             small.copy(id = "j-000009", team = "blue", priority = priority),
             tasks,
             tasks,
@@ -169,16 +173,17 @@
             true,
         )
 
-        fun red(id: Int, elapsedS: Double = 4.0, remainingS: Double = 10.0, covered: Boolean = false) = RunningTask(
-            small.copy(id = "j-000002", priority = Priority.HIGH),
-            id,
-            id.toLong(),
-            covered,
-            elapsedS,
-            remainingS,
-            isExemptFromStop = false,
-            isCoolingDown = false,
-        )
+        fun red(id: Int, elapsedS: Double = 4.0, remainingS: Double = 10.0, isWithinGuarantee: Boolean = false) =
+            RunningTask(
+                small.copy(id = "j-000002", priority = Priority.HIGH),
+                id,
+                id.toLong(),
+                isWithinGuarantee,
+                elapsedS,
+                remainingS,
+                isExemptFromStop = false,
+                isCoolingDown = false,
+            )
 
         fun redTasks(machine: Int) = List(4) { red(machine * 4 + it) }
 
@@ -322,14 +327,14 @@
         private val GUARANTEE_PLANS = listOf(
             PlanCase(
                 "a guarantee, least work lost",
-                snapshot(listOf(covered(1)), CROWDED_MACHINES, there = 1.8),
+                snapshot(listOf(jobWithinGuarantee(1)), CROWDED_MACHINES, there = 1.8),
                 listOf("j-000002/8 on m-2: GUARANTEE"),
                 null,
             ),
             PlanCase(
                 "a guarantee, a stop is under way",
                 snapshot(
-                    listOf(covered(1)),
+                    listOf(jobWithinGuarantee(1)),
                     CROWDED_MACHINES,
                     there = 1.8,
                     open = OpenMoves(stopsForJob = mapOf("j-000009" to 1)),
@@ -339,14 +344,14 @@
             ),
             PlanCase(
                 "a guarantee, no patience yet",
-                snapshot(listOf(covered(1, waitedS = 1.0)), CROWDED_MACHINES, there = 1.8),
+                snapshot(listOf(jobWithinGuarantee(1, waitedS = 1.0)), CROWDED_MACHINES, there = 1.8),
                 emptyList(),
                 RefusalReason.WAIT_TOO_SHORT,
             ),
             PlanCase(
                 "a guarantee, room comes soon",
                 snapshot(
-                    listOf(covered(1)),
+                    listOf(jobWithinGuarantee(1)),
                     CROWDED_MACHINES + machine(3, listOf(red(20, remainingS = 2.0))),
                     there = 1.8,
                 ),
@@ -355,15 +360,15 @@
             ),
             PlanCase(
                 "a guarantee, nobody is above theirs",
-                snapshot(listOf(covered(1)), CROWDED_MACHINES, there = 1.8, redUses = 100.0),
+                snapshot(listOf(jobWithinGuarantee(1)), CROWDED_MACHINES, there = 1.8, redUses = 100.0),
                 emptyList(),
                 RefusalReason.NO_STOPPABLE_TASKS,
             ),
             PlanCase(
                 "a guarantee, all is within others'",
                 snapshot(
-                    listOf(covered(1)),
-                    listOf(machine(1, listOf(red(1, covered = true)))),
+                    listOf(jobWithinGuarantee(1)),
+                    listOf(machine(1, listOf(red(1, isWithinGuarantee = true)))),
                     there = 1.8,
                 ),
                 emptyList(),
@@ -372,7 +377,7 @@
             PlanCase(
                 "a guarantee, all ends soon",
                 snapshot(
-                    listOf(covered(1)),
+                    listOf(jobWithinGuarantee(1)),
                     listOf(machine(1, listOf(red(1, remainingS = 3.5)))),
                     there = 1.8,
                 ),
@@ -382,7 +387,7 @@
             PlanCase(
                 "a guarantee, stopped a while ago",
                 snapshot(
-                    listOf(covered(1)),
+                    listOf(jobWithinGuarantee(1)),
                     listOf(machine(1, listOf(red(1).copy(isCoolingDown = true)))),
                     there = 1.8,
                 ),
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPropertyTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPropertyTest.kt
@@ -38,7 +38,7 @@
 
     private fun checkGuaranteeStop(task: RunningTask, stop: Move.Stop, snapshot: PlannerSnapshot) {
         val beneficiary = snapshot.waiting.single { it.spec.id == stop.beneficiary }
-        assertTrue(beneficiary.covered && beneficiary.team != task.team && !task.covered)
+        assertTrue(beneficiary.isWithinGuarantee && beneficiary.team != task.team && !task.isWithinGuarantee)
     }
 
     private fun checkBounds(stops: List<Move.Stop>, snapshot: PlannerSnapshot, settings: LoadSpreadSettings) {
@@ -134,7 +134,7 @@
         spec = spec(random, 100 + random.nextInt(20), teams),
         task = id,
         attempt = id.toLong(),
-        covered = random.nextInt(4) == 0,
+        isWithinGuarantee = random.nextInt(4) == 0,
         elapsedS = random.nextDouble() * 20,
         remainingS = random.nextDouble() * 40,
         isExemptFromStop = random.nextInt(5) == 0,
