--- a/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
@@ -52,7 +52,7 @@
         cluster: ClusterPressure,
     ): WaitCause {
         val spec = job.spec
-        val hasCapacity = machinesWithFreeCores.any { it.isAllowedFor(spec) && it.hasRoomFor(spec) }
+        val hasCapacity = machinesWithFreeCores.any { it.isAllowedFor(spec) && it.canFit(spec) }
         if (hasCapacity) return WaitCause.CAPACITY_RESERVED
         val hasCapacityElsewhere = cluster.partitions.values.any {
             it.zone != partition.zone && it.meanFor(spec) < MAX_MEAN_WITH_CAPACITY
--- a/src/main/kotlin/io/otterknot/scheduling/Machine.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Machine.kt
@@ -265,7 +265,7 @@
     /** Whether [spec] allows this machine's type and, for a spot instance, the use of spot instances. */
     fun isAllowedFor(spec: JobSpec): Boolean = (spec.spot || !spot) && (spec.types == null || type.name in spec.types)
 
-    fun hasRoomFor(spec: JobSpec): Boolean = usedCores + spec.cores <= type.cores + EPSILON &&
+    fun canFit(spec: JobSpec): Boolean = usedCores + spec.cores <= type.cores + EPSILON &&
         usedMemory + spec.memoryGb <= type.memoryGb + EPSILON &&
         usedCards + spec.cards <= type.cards + EPSILON
 
@@ -273,8 +273,8 @@
      * Whether a task of [spec] fits now without taking capacity reserved for tasks of a higher priority. Resources that
      * are being freed count towards those reservations.
      */
-    fun hasUnreservedCapacityFor(spec: JobSpec): Boolean {
-        if (!hasRoomFor(spec)) return false
+    fun canFitUnreserved(spec: JobSpec): Boolean {
+        if (!canFit(spec)) return false
         var cores = usedCores - beingFreed.cores + spec.cores
         var memory = usedMemory - beingFreed.memoryGb + spec.memoryGb
         var cards = usedCards - beingFreed.cards + spec.cards
--- a/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Scheduler.kt
@@ -84,7 +84,7 @@
         machine.isAllowedFor(job.spec) && hasCapacity(job, machine) && !machine.avoids(job.id, now)
 
     private fun hasCapacity(job: PartitionJob, machine: Machine): Boolean =
-        if (queue.ignoresReservations(job)) machine.hasRoomFor(job.spec) else machine.hasUnreservedCapacityFor(job.spec)
+        if (queue.ignoresReservations(job)) machine.canFit(job.spec) else machine.canFitUnreserved(job.spec)
 
     /**
      * One pass over the queue at time [now] that places tasks on [usable] machines. [only] is set if the pass considers
@@ -122,7 +122,7 @@
             for (job in queue.overdue) {
                 if (!job.neverStarted || !mayStart(job, now)) continue
                 val fitting = usableWithCapacity.filter {
-                    it.isAllowedFor(job.spec) && it.hasRoomFor(job.spec) && !it.avoids(job.id, now)
+                    it.isAllowedFor(job.spec) && it.canFit(job.spec) && !it.avoids(job.id, now)
                 }
                 val candidates = JobCandidates(fitting, job.spec, hasOrdinaryWork) { true }
                 val machine = candidates.choose(random, job.spec) ?: continue
