--- a/src/main/kotlin/io/otterknot/api/JobSubmitter.kt
+++ b/src/main/kotlin/io/otterknot/api/JobSubmitter.kt
@@ -90,7 +90,7 @@
         val views = if (canRunNow) partitionViews() else partitionViews().map { it.copy() }
         return JobRecord(
             spec = spec,
-            spans = PartitionChooser.deal(spec, views, random),
+            spans = PartitionChooser.distribute(spec, views, random),
             submittedMs = wallMs(),
             nonce = random.nextLong().toULong().toString(radix = 36),
         )
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionChooser.kt
@@ -17,18 +17,18 @@
      * Distributes the tasks of [spec] over [partitions] and raises the mean loads of those chosen. The returned spans
      * cover all tasks, the largest first; the partition of the first span becomes the job's home partition.
      */
-    fun deal(spec: JobSpec, partitions: List<PartitionView>, random: Random): List<TaskSpan> {
+    fun distribute(spec: JobSpec, partitions: List<PartitionView>, random: Random): List<TaskSpan> {
         val allowed = if (spec.zone == null) partitions else partitions.filter { it.zone == spec.zone }
         if (spec.sameZone || allowed.size == 1) {
             val partition = choose(allowed, spec, random)
             partition.raise(spec, spec.tasks)
             return listOf(TaskSpan(partition.zone, 0, spec.tasks))
         }
-        return spans(allowed, dealBlocks(spec, allowed, random))
+        return spans(allowed, distributeBlocks(spec, allowed, random))
     }
 
     /** Returns the number of tasks for each of [partitions]. */
-    private fun dealBlocks(spec: JobSpec, partitions: List<PartitionView>, random: Random): IntArray {
+    private fun distributeBlocks(spec: JobSpec, partitions: List<PartitionView>, random: Random): IntArray {
         val counts = IntArray(partitions.size)
         val blockSize = maxOf(1, (spec.tasks + MAX_BLOCKS - 1) / MAX_BLOCKS)
         var left = spec.tasks
--- a/src/test/kotlin/io/otterknot/scheduling/PartitionChooserTest.kt
+++ b/src/test/kotlin/io/otterknot/scheduling/PartitionChooserTest.kt
@@ -24,7 +24,7 @@
 
     @Test
     fun `tasks of a large job are distributed roughly evenly over all partitions`() {
-        val spans = PartitionChooser.deal(jobSpec(300), partitionViews(0.0, 0.0, 0.0), Random(5))
+        val spans = PartitionChooser.distribute(jobSpec(300), partitionViews(0.0, 0.0, 0.0), Random(5))
         val taskCounts = spans.map { it.until - it.from }
         assertEquals(300, taskCounts.sum())
         assertEquals(3, spans.size, "$spans")
@@ -34,13 +34,13 @@
     @Test
     fun `tasks of a job that requires a single zone are placed in one partition`() {
         val spec = jobSpec(30, sameZone = true)
-        assertEquals(1, PartitionChooser.deal(spec, partitionViews(0.0, 0.0), Random(1)).size)
+        assertEquals(1, PartitionChooser.distribute(spec, partitionViews(0.0, 0.0), Random(1)).size)
     }
 
     @Test
     fun `tasks of a job with a given zone are placed in the partition of that zone`() {
         val spec = jobSpec(30, zone = "z1")
-        val spans = PartitionChooser.deal(spec, partitionViews(0.0, 0.0), Random(1))
+        val spans = PartitionChooser.distribute(spec, partitionViews(0.0, 0.0), Random(1))
         assertEquals(listOf(TaskSpan("z1", 0, 30)), spans)
     }
 
