--- a/src/main/kotlin/io/otterknot/scheduling/Machine.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Machine.kt
@@ -48,7 +48,7 @@
     var reconciled = false
         private set
 
-    /** Whether the machine is recorded in the store, which tells a later leader that it may run tasks. */
+    /** Whether the machine is recorded in the store, so that a later leader expects it to run tasks. */
     var registered = false
         private set
 
--- a/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
@@ -90,7 +90,7 @@
             return left
         }
 
-        /** Returns which attempts to stop on [machine] so that a task of [job] fits, or null if it can't fit. */
+        /** Returns which attempts to stop on [machine] so that a task of [job] fits, or null if it cannot fit. */
         private fun cheapestOption(machine: Machine, job: PartitionJob): Option? {
             val spec = job.spec
             val lowerAttempts = preemptible.getOrPut(machine) { findPreemptible(machine, spec.priority) }
