--- a/src/main/kotlin/io/otterknot/partition/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -142,11 +142,11 @@
      * Sets which jobs are within their team's guaranteed quota. They are placed before other jobs, with [beforeAll]
      * even before those of a higher priority, and are not preempted for jobs outside their guaranteed quota.
      */
-    fun markCovered(now: Long, beforeAll: Boolean, isCovered: (PartitionJob) -> Boolean) {
-        var hasChanged = scheduler.queue.coveredBeforeAll != beforeAll
-        scheduler.queue.coveredBeforeAll = beforeAll
+    fun markWithinGuarantee(now: Long, beforeAll: Boolean, withinGuarantee: (PartitionJob) -> Boolean) {
+        var hasChanged = scheduler.queue.guaranteedBeforeAll != beforeAll
+        scheduler.queue.guaranteedBeforeAll = beforeAll
         for (job in jobs) {
-            if (job.markCovered(isCovered(job), now)) hasChanged = true
+            if (job.markWithinGuarantee(withinGuarantee(job), now)) hasChanged = true
         }
         if (hasChanged) trigger.requestFullPass()
     }
