--- a/src/main/kotlin/io/otterknot/api/JobAdmission.kt
+++ b/src/main/kotlin/io/otterknot/api/JobAdmission.kt
@@ -5,32 +5,27 @@
 import io.otterknot.wire.MachineType
 
 /**
- * Decides whether a job could ever run.
+ * Rejects jobs that could never run: those of an unknown team, above the limits of the team, or with tasks that fit no
+ * machine type.
  *
- * [machineTypes] returns null until the cloud has been asked for them.
+ * [machineTypes] returns the machine types that the cloud offers, or null until they have been read from it.
  */
 class JobAdmission(private val teams: List<TeamSettings>, private val machineTypes: () -> List<MachineType>?) {
-    /** The machine types that the cloud offers; null: not known yet. */
+    /** The machine types that the cloud offers, or null if they have not been read yet. */
     internal val offeredTypes: List<MachineType>? get() = machineTypes()
 
-    /** Why no task of [spec] could ever run on machines of the [offered] types; null: they can. */
-    internal fun findObstacle(spec: JobSpec, offered: List<MachineType>): String? {
+    /** Returns why the tasks of [spec] could never run on machines of the [offered] types, or null if they could. */
+    internal fun findRejectionReason(spec: JobSpec, offered: List<MachineType>): String? {
         val team = teams.firstOrNull { it.name == spec.team } ?: return "unknown team ${spec.team}"
         if (exceedsLimit(spec, team)) return "one task needs more than the limit of team ${spec.team}"
-        return if (offered.any {
-                isAllowed(spec, it) && fits(spec, it)
-            }
-        ) {
-            null
-        } else {
-            "a task fits no allowed machine type"
-        }
+        val fitsAllowedType = offered.any { isAllowed(spec, it) && fits(spec, it) }
+        return if (fitsAllowedType) null else "a task fits no allowed machine type"
     }
 
     private fun exceedsLimit(spec: JobSpec, team: TeamSettings): Boolean =
         exceeds(spec.cores, team.cpusMax) || exceeds(spec.cards, team.gpusMax)
 
-    /** A [limit] of 0 stands for none. */
+    /** Whether [amount] is above [limit]; a [limit] of 0 means unlimited. */
     private fun exceeds(amount: Double, limit: Double) = limit > 0 && amount > limit
 
     private fun isAllowed(spec: JobSpec, type: MachineType): Boolean =
--- a/src/main/kotlin/io/otterknot/api/JobApi.kt
+++ b/src/main/kotlin/io/otterknot/api/JobApi.kt
@@ -7,10 +7,11 @@
 import kotlin.random.Random
 
 /**
- * The requests of users (PROTOCOL, "Users"): submit, poll and cancel jobs, and of the load balancer: readiness.
+ * Serves the requests of users (PROTOCOL, "Users"), which submit, poll and cancel jobs, and the readiness check of the
+ * load balancer.
  *
- * [partitionViews] returns the loads of all partitions as known here; [isIsolated] returns whether this controller
- * reaches neither the store nor another controller; [wallMs] returns the wall-clock time in milliseconds.
+ * [partitionViews] returns this controller's view of the load of each partition; [isIsolated] returns whether this
+ * controller reaches neither the store nor another controller; [wallMs] returns the wall-clock time in milliseconds.
  */
 class JobApi(
     private val store: JobStoreAccess,
--- a/src/main/kotlin/io/otterknot/api/JobCanceller.kt
+++ b/src/main/kotlin/io/otterknot/api/JobCanceller.kt
@@ -11,7 +11,7 @@
 import io.otterknot.wire.isJobId
 import org.slf4j.LoggerFactory
 
-/** Cancels jobs for their users. */
+/** Cancels jobs at the request of users. */
 internal class JobCanceller(
     private val store: JobStoreAccess,
     private val statusReader: JobStatusReader,
@@ -19,28 +19,32 @@
 ) {
     private val log = LoggerFactory.getLogger(JobCanceller::class.java)
 
-    /** Cancels the job, unless it has ended already; either way, its terminal state is the outcome. */
+    /** Cancels the job unless it is already in a terminal state; the outcome shows the terminal state in both cases. */
     suspend fun cancel(id: String): JobRequestOutcome {
         if (!isJobId(id)) return NotFound(id)
         repeat(MAX_ATTEMPTS) {
             tryCancel(id)?.let { return it }
         }
-        return Unavailable(UnavailableReason.JOB_CHANGING)
+        return Unavailable(UnavailableReason.CANCELLATION_ATTEMPTS_EXHAUSTED)
     }
 
-    /** Null: the job has changed meanwhile, so that the cancellation has to be decided anew. */
+    /** Makes one attempt; returns null if another is needed, see [send]. */
     private suspend fun tryCancel(id: String): JobRequestOutcome? {
         val jobs = store.jobs
-        if (jobs[id] == null && !store.awaitCurrentReplica()) return Unavailable(UnavailableReason.STORE_AWAY)
+        if (jobs[id] == null && !store.awaitCurrentReplica()) return Unavailable(UnavailableReason.STORE_UNREACHABLE)
         val job = jobs[id] ?: return NotFound(id)
-        // Decided and guarded in one step: while the cancellation waits for its turn, the job may end.
+        // The compare-and-swap condition is of the same snapshot as the decision: the job may end while the cancellation
+        // waits for the rate limit.
         val cancellation = JobTransitions.cancel(job, wallMs(), store.limits) ?: return statusReader.existing(job)
         return send(id, cancellation)
     }
 
-    /** Null: the job has changed meanwhile, or [cancellation] was too large and has to be made smaller. */
+    /**
+     * Writes [cancellation] to the store; returns null if the job changed meanwhile or if [cancellation] was too large,
+     * so that it must be built again from the changed job or with lower limits.
+     */
     private suspend fun send(id: String, cancellation: CompareAndSwap): JobRequestOutcome? {
-        if (!store.awaitTurn(cancellation)) return Unavailable(UnavailableReason.RATE_LIMITED)
+        if (!store.awaitRateLimit(cancellation)) return Unavailable(UnavailableReason.RATE_LIMITED)
         return when (val outcome = store.client.transact(cancellation)) {
             is TransactionOutcome.Applied -> {
                 store.awaitRevisionAfterWrite(outcome.revision)
@@ -49,7 +53,7 @@
             }
 
             is TransactionOutcome.Conflict ->
-                retryIf(store.awaitRevisionAfterWrite(outcome.revision), UnavailableReason.STORE_SLOW)
+                retryIf(store.awaitRevisionAfterWrite(outcome.revision), UnavailableReason.REPLICA_BEHIND)
 
             is TransactionOutcome.Refused -> {
                 if (outcome.isTooLarge) store.limits.reduceAfterRefusal(cancellation.changes)
@@ -57,11 +61,11 @@
             }
 
             is TransactionOutcome.Unknown ->
-                retryIf(store.awaitCurrentReplicaAfterWrite(), UnavailableReason.STORE_SILENT)
+                retryIf(store.awaitCurrentReplicaAfterWrite(), UnavailableReason.OUTCOME_UNKNOWN)
         }
     }
 
-    /** Null, for another attempt, if [condition] holds; otherwise the user has to repeat the request. */
+    /** Returns null, for another attempt, if [condition] holds; if not, the user has to retry for reason [otherwise]. */
     private fun retryIf(condition: Boolean, otherwise: UnavailableReason): JobRequestOutcome? =
         if (condition) null else Unavailable(otherwise)
 
--- a/src/main/kotlin/io/otterknot/api/JobStatusReader.kt
+++ b/src/main/kotlin/io/otterknot/api/JobStatusReader.kt
@@ -10,20 +10,20 @@
 import io.otterknot.wire.JobStatus
 import io.otterknot.wire.isJobId
 
-/** Reads the status of jobs for users, never an older one than any controller has given before. */
+/** Reads the status of jobs for users. The status is never older than one that any controller has returned before. */
 internal class JobStatusReader(private val store: JobStoreAccess, private val partitions: Map<String, Partition>) {
     private val jobs = store.jobs
 
     suspend fun poll(id: String): JobRequestOutcome {
-        // Jobs that are known first: the form of their ids needs no check.
+        // The form of the id is checked only if it is not the id of an ended job in memory.
         findEnded(id)?.let { return existing(it) }
         return if (isJobId(id)) read(id) else NotFound(id)
     }
 
-    /** The present status: a terminal one from memory, any other only once the replica is surely up to date. */
+    /** Reads the current status: a terminal state from memory, any other state after a read barrier on the replica. */
     suspend fun read(id: String): JobRequestOutcome {
         findEnded(id)?.let { return existing(it) }
-        if (!store.awaitCurrentReplica()) return Unavailable(UnavailableReason.STORE_AWAY)
+        if (!store.awaitCurrentReplica()) return Unavailable(UnavailableReason.STORE_UNREACHABLE)
         val job = jobs[id] ?: return NotFound(id)
         return existing(job)
     }
--- a/src/main/kotlin/io/otterknot/api/JobStoreAccess.kt
+++ b/src/main/kotlin/io/otterknot/api/JobStoreAccess.kt
@@ -6,25 +6,25 @@
 import io.otterknot.store.StoreReplica
 import io.otterknot.store.WriteLimits
 
-/** The jobs in the store: read from the replica, written by the client. */
+/** Access to the jobs in the store: [jobs] is read from the [replica], and the [client] writes. */
 class JobStoreAccess(
     val client: KeyValueStoreClient,
     val replica: StoreReplica,
     val jobs: JobTable,
     val limits: WriteLimits,
 ) {
-    /** Waits until the replica is as new as the store is now; false if that takes too long. */
+    /** Waits until the replica has all changes that the store has now; false if it does not in time. */
     internal suspend fun awaitCurrentReplica(): Boolean = replica.awaitReadBarrier(READ_BARRIER_MS)
 
-    /** The same once a transaction has been sent; less of the time for the response is left then. */
+    /** Like [awaitCurrentReplica], with the shorter timeout that remains after a transaction has been sent. */
     internal suspend fun awaitCurrentReplicaAfterWrite(): Boolean = replica.awaitReadBarrier(AFTER_WRITE_MS)
 
-    /** Waits until the replica shows [revision] after a transaction; false if that takes too long. */
+    /** Waits after a transaction until the replica has reached [revision]; false if it does not in time. */
     internal suspend fun awaitRevisionAfterWrite(revision: Long): Boolean =
         replica.awaitRevision(revision, AFTER_WRITE_MS)
 
-    /** Waits for the turn of [transaction] under the rate limit on changes; false if that takes too long. */
-    internal suspend fun awaitTurn(transaction: CompareAndSwap): Boolean =
+    /** Waits until the rate limit on changes admits [transaction]; false if it does not in time. */
+    internal suspend fun awaitRateLimit(transaction: CompareAndSwap): Boolean =
         client.rateLimiter.tryAcquire(transaction.size, RATE_LIMIT_WAIT_MS)
 
     private companion object {
--- a/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
@@ -13,12 +13,12 @@
 import io.otterknot.wire.parseHeartbeat
 
 /**
- * `POST /v1/report`, the heartbeats of workers: the leader of the machine's partition responds with commands, every
- * other controller redirects the worker to that leader.
+ * Serves `POST /v1/report`, the heartbeats of workers. The leader of the machine's partition responds with commands;
+ * every other controller redirects the worker to that leader.
  *
- * @param label this controller's name among the controllers
- * @param partitions the partitions in service here, by zone
- * @param nowMs a steady clock, in milliseconds
+ * @param label the label of this controller
+ * @param partitions the partitions in service at this controller, by zone
+ * @param nowMs returns the time of a monotonic clock in milliseconds
  */
 class HeartbeatEndpoint(
     private val label: String,
@@ -32,8 +32,8 @@
         } catch (e: MalformedMessageException) {
             return HttpResponse.refusal(HttpStatus.BAD_REQUEST, e.message.orEmpty())
         }
-        // The fence is checked after the heartbeat has arrived, so that the worker's lease, which counts from when the
-        // heartbeat was sent, starts before the fence was seen to hold.
+        // The fence is checked after the heartbeat has arrived. The worker's lease counts from the sending of the
+        // heartbeat, so it starts before the time at which the fence was found valid.
         val fencingToken = leadership.actingToken(heartbeat.zone) ?: return redirect(heartbeat)
         return respondAsLeader(heartbeat, fencingToken)
     }
@@ -41,7 +41,7 @@
     private fun respondAsLeader(heartbeat: Heartbeat, fencingToken: Long): HttpResponse {
         val zone = heartbeat.zone
         if (heartbeat.fencingToken > fencingToken) return leadershipLost(zone)
-        // Until all that was written before the acquisition has been read, there are no commands, only the new token.
+        // The response has the new token but no commands until everything written before the acquisition has been read.
         val partition = partitions[zone]?.takeIf { it.fencingToken == fencingToken }
             ?: return respond(fencingToken, emptyList())
         return when (val decision = partition.applyHeartbeat(heartbeat, nowMs())) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** The worker has seen a higher fencing token than this controller's. */
+    /** Gives up the leadership of [zone]: the worker has seen a higher fencing token than this controller's. */
     private fun leadershipLost(zone: String): HttpResponse {
         leadership.leadershipLost(zone)
         return unavailable("$label has lost $zone")
@@ -62,13 +62,13 @@
         val leader = leadership.leaderOf(zone)
         if (leader == null || leader == label) return unavailable("nobody may act for $zone at the moment")
         leadership.workerRedirected(zone, heartbeat.machine, heartbeat.fencingToken)
-        if (leadership.isLeaderSuspected(zone)) return unavailable("$leader seems not to answer the workers of $zone")
+        if (leadership.isLeaderSuspected(zone)) return unavailable("leader $leader of $zone appears unresponsive")
         return HttpResponse.json(HttpStatus.MISDIRECTED_REQUEST, LeaderRedirect.serializer(), LeaderRedirect(leader))
     }
 
     private fun respond(fencingToken: Long, commands: List<HeartbeatCommand>) =
         HttpResponse.json(HttpStatus.OK, HeartbeatResponse.serializer(), HeartbeatResponse(fencingToken, commands))
 
-    /** The worker tries the next controller. */
+    /** Makes the worker try the next controller. */
     private fun unavailable(reason: String) = HttpResponse.refusal(HttpStatus.SERVICE_UNAVAILABLE, reason)
 }
--- a/src/main/kotlin/io/otterknot/peer/IdlePartitionAnnouncer.kt
+++ b/src/main/kotlin/io/otterknot/peer/IdlePartitionAnnouncer.kt
@@ -6,7 +6,7 @@
 
 /**
  * Announces the idle machines of the partitions that this controller leads, each partition to one controller, and
- * withdraws the announcement once no machine is idle (DESIGN; Saqr, section 3.2). That controller prefers the partition
+ * withdraws the announcement once no machine is idle (DESIGN; Saqr, section 3.2). The recipient prefers the partition
  * for new jobs, see [IdlePartitions].
  */
 class IdlePartitionAnnouncer(
@@ -17,12 +17,12 @@
     private val nowMs: () -> Long,
     private val random: Random,
 ) {
-    /** What the controller [recipient] was told last, at [sentMs]. */
+    /** The last announcement to the controller [recipient], sent at [sentMs]. */
     private class Announcement(val recipient: String, val fencingToken: Long, var idleMachines: Int, var sentMs: Long)
 
     private val announcementsByZone = HashMap<String, Announcement>()
 
-    /** Announces what changed, until cancelled. */
+    /** Sends announcements, renewals and withdrawals periodically until cancelled. */
     suspend fun announceContinuously() {
         while (true) {
             delay(INTERVAL_MS + random.nextLong(INTERVAL_JITTER_MS))
@@ -43,17 +43,20 @@
         }
     }
 
-    /** A withdrawal that got no answer is repeated the next time. */
+    /** Withdraws [announcement]; a withdrawal without a response is retried in the next round. */
     private suspend fun withdraw(partition: Partition, announcement: Announcement) {
         val message = PeerMessage.IdleAnnouncementWithdrawn(partition.zone, partition.fencingToken)
         if (send(announcement.recipient, message) != null) announcementsByZone.remove(partition.zone)
     }
 
-    /** Each change of the number is announced: else a burst of jobs would flood the partition until the withdrawal. */
+    /**
+     * Whether [announcement] must be sent again. Each change of the number of idle machines is announced, because
+     * otherwise a burst of jobs would overload the partition until the withdrawal.
+     */
     private fun isDue(announcement: Announcement, idleMachines: Int, now: Long): Boolean =
         announcement.idleMachines != idleMachines || now - announcement.sentMs >= RENEWAL_MS
 
-    /** If the recipient does not answer, the next round chooses another. */
+    /** Sends the current number; if the recipient does not respond, the next round chooses another. */
     private suspend fun renew(partition: Partition, announcement: Announcement, idleMachines: Int, now: Long) {
         val message = PeerMessage.IdlePartitionAnnouncement(partition.zone, partition.fencingToken, idleMachines)
         if (send(announcement.recipient, message) == null) {
@@ -72,32 +75,32 @@
     }
 
     /**
-     * Of two random controllers, this one included, the one that knows of fewer idle partitions (the power of two
-     * choices); null: neither answers.
+     * Returns whichever of two random controllers, this one included, has fewer announced idle partitions (the power of
+     * two choices), or null if neither responds.
      */
     private suspend fun chooseRecipient(): String? {
         val candidates = (peers.keys.toList() + label).shuffled(random).take(CANDIDATES)
-        val knownPartitions = candidates.mapNotNull { candidate ->
+        val idlePartitionCounts = candidates.mapNotNull { candidate ->
             send(candidate, PeerMessage.IdlePartitionQuery)?.let { candidate to it }
         }
-        return knownPartitions.minByOrNull { it.second }?.first
+        return idlePartitionCounts.minByOrNull { it.second }?.first
     }
 
-    /** How many idle partitions [controller] then knows of; null: it did not answer. */
+    /** Sends [message]; returns how many idle partitions [controller] has after it, or null without a response. */
     private suspend fun send(controller: String, message: PeerMessage): Int? {
-        val answer = if (controller == label) {
+        val response = if (controller == label) {
             announcedHere.respondTo(message, nowMs())
         } else {
             peers[controller]?.call(message, PEER_RESPONSE_TIMEOUT_MS)
         }
-        return (answer as? PeerMessage.IdlePartitionCount)?.partitions
+        return (response as? PeerMessage.IdlePartitionCount)?.partitions
     }
 
     private companion object {
         const val INTERVAL_MS = 500L
         const val INTERVAL_JITTER_MS = 200L
 
-        /** An announcement that stays the same is repeated after this long. */
+        /** An unchanged announcement is sent again after this time, before it expires at the recipient. */
         const val RENEWAL_MS = 2_500L
         const val CANDIDATES = 2
     }
--- a/src/main/kotlin/io/otterknot/peer/IdlePartitions.kt
+++ b/src/main/kotlin/io/otterknot/peer/IdlePartitions.kt
@@ -4,14 +4,14 @@
 
 /**
  * The partitions with idle machines that were announced to this controller. Keeps [PartitionView.idleMachines] of
- * [views] (by zone) up to date, by which new jobs are given to partitions. Used on the controller's one thread only.
+ * [views] (by zone) up to date, which the placement of new jobs uses. Used only on the controller's single thread.
  */
 class IdlePartitions(private val views: Map<String, PartitionView>, private val isStoreReachable: () -> Boolean) {
     private class Announcement(val fencingToken: Long, val expiresMs: Long)
 
     private val announcementsByZone = HashMap<String, Announcement>()
 
-    /** Applies an announcement or a withdrawal; other messages change nothing. Each gets the same kind of answer. */
+    /** Applies an announcement or a withdrawal; other messages change nothing. Returns the count after the change. */
     fun respondTo(message: PeerMessage, nowMs: Long): PeerMessage.IdlePartitionCount {
         removeExpired(nowMs)
         when (message) {
@@ -44,12 +44,12 @@
         views[message.zone]?.idleMachines = 0
     }
 
-    /** Whether a message that came late is of a leader who has been replaced since. */
+    /** Whether a message is stale: sent by a leader of [zone] that has been replaced since. */
     private fun isFromEarlierLeader(zone: String, fencingToken: Long): Boolean =
         fencingToken < (announcementsByZone[zone]?.fencingToken ?: 0)
 
     private companion object {
-        /** More than twice the time after which an announcement is renewed, so that one lost message ends none. */
+        /** More than twice the renewal interval, so that one lost message does not expire an announcement. */
         const val EXPIRY_MS = 6_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/peer/PeerClient.kt
+++ b/src/main/kotlin/io/otterknot/peer/PeerClient.kt
@@ -8,14 +8,14 @@
 import kotlinx.coroutines.withTimeout
 
 /**
- * Calls the controller at [address], over one connection that is reused. A connection carries one call at a time: a
- * call that finds it in use opens another. After a call that got no answer its connection is closed, since a late
- * answer would be taken for that of the next call.
+ * Calls the controller at [address] over a connection that is reused. A connection carries one call at a time; a call
+ * opens another connection if the first is in use. After a call without a response the connection is closed, because a
+ * late response would be taken for the response to the next call.
  */
 class PeerClient(private val loop: EventLoop, private val address: HostPort) : PeerTransport {
     private var idleConnection: TcpConnection? = null
 
-    @Suppress("TooGenericExceptionCaught") // An address that does not resolve is an unchecked exception.
+    @Suppress("TooGenericExceptionCaught") // An unresolvable address throws an unchecked exception.
     override suspend fun call(message: PeerMessage, timeoutMs: Long): PeerMessage? {
         val reused = idleConnection
         idleConnection = null
@@ -33,7 +33,7 @@
             return null
         } catch (e: CancellationException) {
             throw e
-        } catch (_: Exception) { // For callers a controller that cannot be reached is one that does not answer.
+        } catch (_: Exception) { // Callers treat an unreachable controller like one that does not respond.
             return null
         } finally {
             if (isAnswered) idleConnection = connection else connection?.close()
--- a/src/main/kotlin/io/otterknot/peer/PeerCodec.kt
+++ b/src/main/kotlin/io/otterknot/peer/PeerCodec.kt
@@ -6,13 +6,13 @@
 
 /**
  * The binary format of [PeerMessage]. A frame is the length of its body (4 bytes) and the body: the kind of the message
- * (1 byte), then its fields. Integers are big-endian; a name is its length in UTF-8 bytes (2 bytes, unsigned) and these
- * bytes; a byte array is its length (4 bytes, [ABSENT] for null) and its content.
+ * (1 byte), then its fields. Integers are big-endian. A name is encoded as its length in UTF-8 bytes (2 bytes, unsigned)
+ * and the bytes; a byte array as its length (4 bytes, [ABSENT] for null) and its content.
  *
- * The format is that of controllers in production; GoldenFormatTest pins it.
+ * Controllers in production use this format, so it must not change; GoldenFormatTest checks it.
  */
 object PeerCodec {
-    /** The largest body of a frame that a controller reads. */
+    /** The maximum size of a frame body that a controller accepts. */
     const val MAX_FRAME_BYTES = 1_048_576
 
     private const val KIND_IDLE_PARTITION_QUERY = 1
@@ -23,13 +23,13 @@
     private const val KIND_RELAY_RESPONSE = 6
     private const val KIND_TRANSFER_LEADERSHIP = 7
 
-    /** The length that stands for a byte array that is null. */
+    /** The length that encodes a null byte array. */
     private const val ABSENT = -1
 
     private const val UNSIGNED_SHORT_MASK = 0xffff
     private val EMPTY = ByteArray(0)
 
-    /** The whole frame of [message], with its length. */
+    /** Encodes [message] as a complete frame, including its length. */
     fun encode(message: PeerMessage): ByteArray {
         val body = Buffer()
         body.writeMessage(message)
@@ -39,19 +39,19 @@
     }
 
     /**
-     * Reads the body of one frame, without its length.
+     * Decodes the body of one frame, without its length.
      *
-     * @throws MalformedMessageException the body ends within a field, or goes on after the last one.
+     * @throws MalformedMessageException if the body ends within a field or has bytes after the last field.
      */
     fun decode(body: ByteArray): PeerMessage {
         val buffer = Buffer().write(body)
         try {
             val message = buffer.readMessage()
             if (message is PeerMessage.Unknown) return message
-            if (!buffer.exhausted()) throw MalformedMessageException("bytes after the message")
+            if (!buffer.exhausted()) throw MalformedMessageException("${buffer.size} bytes after the last field")
             return message
-        } catch (_: EOFException) { // It says nothing but that the body is too short.
-            throw MalformedMessageException("message cut short")
+        } catch (_: EOFException) { // Carries no information except that the body is too short.
+            throw MalformedMessageException("message body of ${body.size} bytes ends within a field")
         }
     }
 
@@ -115,7 +115,7 @@
         writeBytes(message.body)
     }
 
-    /** Arguments are evaluated as they stand here: in the order of the fields in the frame. */
+    /** The arguments are evaluated in the order written, which must be the order of the fields in the frame. */
     private fun Buffer.readRelayRequest() = PeerMessage.RelayRequest(
         method = readName(),
         target = readName(),
--- a/src/main/kotlin/io/otterknot/peer/PeerRelay.kt
+++ b/src/main/kotlin/io/otterknot/peer/PeerRelay.kt
@@ -3,17 +3,17 @@
 import io.otterknot.http.Reply
 import io.otterknot.store.Relay
 
-/** Another controller as a way to the key-value store. */
+/** Sends requests to the key-value store through another controller. */
 class PeerRelay(private val peer: PeerTransport) : Relay {
     override suspend fun reachesStore(): Boolean? {
-        val answer = peer.call(PeerMessage.IdlePartitionQuery, PEER_RESPONSE_TIMEOUT_MS)
-        return (answer as? PeerMessage.IdlePartitionCount)?.isStoreReachable
+        val response = peer.call(PeerMessage.IdlePartitionQuery, PEER_RESPONSE_TIMEOUT_MS)
+        return (response as? PeerMessage.IdlePartitionCount)?.isStoreReachable
     }
 
     override suspend fun relay(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
         val request = PeerMessage.RelayRequest(method, target, body, timeoutMs.toInt())
         val response = peer.call(request, timeoutMs + PEER_RESPONSE_TIMEOUT_MS) as? PeerMessage.RelayResponse
-        if (response == null || !response.isAnswered) return Reply.None("no answer through another controller")
+        if (response == null || !response.isAnswered) return Reply.None("no response through the relay controller")
         return Reply.Answer(response.status, response.body)
     }
 }
--- a/src/main/kotlin/io/otterknot/peer/PeerServer.kt
+++ b/src/main/kotlin/io/otterknot/peer/PeerServer.kt
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** Answers the messages of other controllers, those of one connection one after another. */
+/** Responds to the messages of other controllers; messages of one connection are processed one after another. */
 class PeerServer(private val loop: EventLoop, private val respond: suspend (PeerMessage) -> PeerMessage) {
     private val log = LoggerFactory.getLogger(PeerServer::class.java)
     private var openConnections = 0
@@ -19,14 +19,14 @@
     /**
      * Listens on [address] until cancelled; the connections are served in [scope].
      *
-     * @throws IOException the address cannot be listened on.
+     * @throws IOException if the address cannot be bound.
      */
     suspend fun serve(scope: CoroutineScope, address: HostPort) {
         TcpListener.bind(loop, address).use { listener ->
             while (true) {
                 val connection = accept(listener)
                 if (connection == null) {
-                    // The sockets have run out: a loop without a pause would take the processor until some are free.
+                    // No socket is available; without a pause this loop would use a full core until one is free.
                     delay(ACCEPT_RETRY_MS)
                     continue
                 }
@@ -40,22 +40,22 @@
         }
     }
 
-    /** The next connection; null: it could not be accepted. */
+    /** Returns the next connection, or null if it could not be accepted. */
     private suspend fun accept(listener: TcpListener): TcpConnection? = try {
         listener.accept()
     } catch (e: IOException) {
-        log.warn("peer connection not accepted error={}", e.message)
+        log.warn("error={} peer connection not accepted", e.message)
         null
     }
 
-    @Suppress("TooGenericExceptionCaught") // A fault in answering one controller must not end this one.
+    @Suppress("TooGenericExceptionCaught") // A failure to serve one controller must not stop this controller.
     private suspend fun serveConnection(connection: TcpConnection) {
         try {
             while (true) connection.sendMessage(respond(connection.receiveMessage()))
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
-            log.debug("peer connection closed error={}", e.toString())
+            log.debug("error={} peer connection closed", e.toString())
         } finally {
             openConnections--
             connection.close()
@@ -65,7 +65,7 @@
     private companion object {
         const val ACCEPT_RETRY_MS = 200L
 
-        /** Connections of other controllers at a time; each needs one or two. */
+        /** The limit on simultaneous connections from other controllers, each of which needs one or two. */
         const val MAX_CONNECTIONS = 32
     }
 }
--- a/src/main/kotlin/io/otterknot/peer/PeerTransport.kt
+++ b/src/main/kotlin/io/otterknot/peer/PeerTransport.kt
@@ -1,13 +1,13 @@
 package io.otterknot.peer
 
-/** Sends messages to one other controller: a [PeerClient], or a stand-in for that controller in tests. */
+/** Sends messages to one other controller. Implemented by [PeerClient] and by fakes in tests. */
 fun interface PeerTransport {
     /**
-     * Sends [message] and waits for its answer. Null: none came within [timeoutMs], whether or not the other controller
-     * got the message.
+     * Sends [message] and returns the response, or null if none arrived within [timeoutMs]; the other controller may
+     * have received the message all the same.
      */
     suspend fun call(message: PeerMessage, timeoutMs: Long): PeerMessage?
 }
 
-/** How long a controller waits for an answer that another gives from memory. */
+/** How long a controller waits for a response that the other controller returns from memory. */
 const val PEER_RESPONSE_TIMEOUT_MS = 800L
--- a/src/test/kotlin/io/otterknot/api/JobCancellationTest.kt
+++ b/src/test/kotlin/io/otterknot/api/JobCancellationTest.kt
@@ -19,38 +19,41 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** A cancellation that has to wait for its turn among the changes. */
+/** Cancellation of a job while the rate limit on changes delays the transaction. */
 class JobCancellationTest {
     private val id = "j-000001"
     private val spec = smallJob(id)
 
-    /** Found in a drawn day of wisniewski-hunt: users were told "aborted" of jobs that others were told were done. */
+    /**
+     * Guards against two terminal states of one job: a job that completed while its cancellation waited for the rate
+     * limit was reported as "aborted" to one user and as done to others. Found by a simulated day of wisniewski-hunt.
+     */
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
-    fun `a job that ends while its cancellation waits stays done`() = runTest {
-        val bench = StoreFixture(this, changesPerS = 5.0)
-        val replica = bench.replica
+    fun `a job that completes while its cancellation waits for the rate limit stays done`() = runTest {
+        val fixture = StoreFixture(this, changesPerS = 5.0)
+        val replica = fixture.replica
         val api = JobApi(
-            JobStoreAccess(bench.client, replica, bench.readJobs(), WriteLimits(8_192, 40)),
+            JobStoreAccess(fixture.client, replica, fixture.readJobs(), WriteLimits(8_192, 40)),
             JobAdmission(teams = emptyList()) { emptyList() },
             partitions = emptyMap(),
             partitionViews = { emptyList() },
             isIsolated = { false },
-            wallMs = bench.now,
+            wallMs = fixture.now,
             random = Random(1),
         )
         val background = listOf(launch { replica.followWatch() }, launch { replica.serveReadBarriers() })
         replica.awaitLoaded()
-        bench.state.store(jobChange(id, JobRecord(spec, listOf(TaskSpan("a", 0, 1)))))
+        fixture.state.store(jobChange(id, JobRecord(spec, listOf(TaskSpan("a", 0, 1)))))
         delay(200)
-        // The burst is used up, so the cancellation waits for most of a second.
-        repeat(7) { launch { bench.budget.tryAcquire(1, 2_000) } }
-        val answer = async { api.cancel(id) }
+        // Uses up the burst of the rate limiter, so that the cancellation waits for most of a second.
+        repeat(7) { launch { fixture.budget.tryAcquire(1, 2_000) } }
+        val response = async { api.cancel(id) }
         delay(100)
-        assertTrue(answer.isActive, "it waits")
-        bench.state.store(jobChange(id, JobRecord(terminalState = TerminalState.DONE, taskCount = 1)))
-        assertTrue(answer.await().body.decodeToString().contains("done"))
-        val stored = decodeRecord(JobRecord.serializer(), bench.state.value(StoreKeys.job(id))!!)
+        assertTrue(response.isActive, "the cancellation waits for the rate limit")
+        fixture.state.store(jobChange(id, JobRecord(terminalState = TerminalState.DONE, taskCount = 1)))
+        assertTrue(response.await().body.decodeToString().contains("done"))
+        val stored = decodeRecord(JobRecord.serializer(), fixture.state.value(StoreKeys.job(id))!!)
         assertEquals(TerminalState.DONE, stored.terminalState, "at ${testScheduler.currentTime} ms")
         background.forEach { it.cancel() }
     }
--- a/src/test/kotlin/io/otterknot/api/SubmissionResponseTest.kt
+++ b/src/test/kotlin/io/otterknot/api/SubmissionResponseTest.kt
@@ -26,20 +26,22 @@
 import org.junit.jupiter.params.provider.CsvSource
 import kotlin.random.Random
 
-/** What is answered to a submission whose transaction was answered late or not at all, while the job went on. */
+/** Responses to a submission whose transaction is answered late or never while the state of the job changes. */
 class SubmissionResponseTest {
     private val id = "j-000001"
     private val spec = smallJob(id)
 
     private fun recordOf(state: String): JobRecord? = when (state) {
         "DONE", "CANCELLED" -> JobRecord(terminalState = TerminalState.valueOf(state), taskCount = 1)
-        "OTHERS" -> JobRecord(spec, listOf(TaskSpan("a", 0, 1)), nonce = "another")
+        "OTHER_SUBMISSION" -> JobRecord(spec, listOf(TaskSpan("a", 0, 1)), nonce = "another")
         else -> null
     }
 
     /**
-     * [isCarriedOut]: the transaction reaches the state service; [answerMs]: when its answer comes, past the limit it
-     * is lost; [meanwhile]: what somebody else has stored of the job before that.
+     * Guards against a response with a job state older than one that another request has shown already.
+     *
+     * [isApplied] is whether the transaction reaches the state service. Its reply arrives after [replyMs], or is lost if
+     * that is past the timeout. [storedMeanwhile] is the record of the job that another writer stores before the reply.
      */
     @OptIn(ExperimentalCoroutinesApi::class)
     @ParameterizedTest
@@ -51,44 +53,45 @@
         "true, 9000, NOTHING, 201, QUEUED",
         "true, 9000, CANCELLED, 200, CANCELLED",
         "false, 9000, NOTHING, 503, ",
-        "false, 9000, OTHERS, 200, QUEUED",
+        "false, 9000, OTHER_SUBMISSION, 200, QUEUED",
     )
-    fun `the answer is not older than what others were told`(
-        isCarriedOut: Boolean,
-        answerMs: Long,
-        meanwhile: String,
+    fun `the response is never older than a state that others have read`(
+        isApplied: Boolean,
+        replyMs: Long,
+        storedMeanwhile: String,
         status: Int,
         state: JobState?,
     ) = runTest {
-        val bench = StoreFixture(this) { service ->
+        val fixture = StoreFixture(this) { service ->
             val link = service.link("n")
             Transport { method, target, body, timeoutMs ->
                 if (target != "/txn") return@Transport link.call(method, target, body, timeoutMs)
-                val reply = if (isCarriedOut) link.call(method, target, body, timeoutMs) else Reply.None("lost")
-                delay(minOf(answerMs, timeoutMs))
-                if (answerMs < timeoutMs) reply else Reply.None("no answer in time")
+                val reply = if (isApplied) link.call(method, target, body, timeoutMs) else Reply.None("lost")
+                delay(minOf(replyMs, timeoutMs))
+                if (replyMs < timeoutMs) reply else Reply.None("no reply in time")
             }
         }
         val types = listOf(MachineType("big", 8.0, memoryGb = 64.0, zones = listOf("a")))
         val api = JobApi(
-            JobStoreAccess(bench.client, bench.replica, bench.readJobs(), WriteLimits(8_192, 40)),
+            JobStoreAccess(fixture.client, fixture.replica, fixture.readJobs(), WriteLimits(8_192, 40)),
             JobAdmission(listOf(TeamSettings("red"))) { types },
             partitions = emptyMap(),
             partitionViews = { listOf(PartitionView("a")) },
             isIsolated = { false },
-            wallMs = bench.now,
+            wallMs = fixture.now,
             random = Random(1),
         )
-        val background = listOf(launch { bench.replica.followWatch() }, launch { bench.replica.serveReadBarriers() })
-        bench.replica.awaitLoaded()
-        val answer = async { api.submit(submissionBody(spec)) }
+        val background =
+            listOf(launch { fixture.replica.followWatch() }, launch { fixture.replica.serveReadBarriers() })
+        fixture.replica.awaitLoaded()
+        val pendingResponse = async { api.submit(submissionBody(spec)) }
         delay(300)
-        recordOf(meanwhile)?.let { bench.state.store(jobChange(id, it)) }
-        val response = answer.await()
+        recordOf(storedMeanwhile)?.let { fixture.state.store(jobChange(id, it)) }
+        val response = pendingResponse.await()
         assertEquals(status, response.status)
         if (state != null) {
-            val told = WireJson.decodeFromString(JobStatus.serializer(), response.body.decodeToString())
-            assertEquals(state, told.state)
+            val reported = WireJson.decodeFromString(JobStatus.serializer(), response.body.decodeToString())
+            assertEquals(state, reported.state)
         }
         background.forEach { it.cancel() }
     }
