--- a/src/main/kotlin/io/otterknot/peer/IdlePartitionAnnouncer.kt
+++ b/src/main/kotlin/io/otterknot/peer/IdlePartitionAnnouncer.kt
@@ -11,7 +11,7 @@
  */
 class IdlePartitionAnnouncer(
     private val label: String,
-    private val announcedHere: IdlePartitions,
+    private val receivedAnnouncements: IdlePartitions,
     private val peers: Map<String, PeerTransport>,
     private val partitions: Map<String, Partition>,
     private val nowMs: () -> Long,
@@ -26,7 +26,7 @@
     suspend fun announceContinuously() {
         while (true) {
             delay(INTERVAL_MS + random.nextLong(INTERVAL_JITTER_MS))
-            announcedHere.removeExpired(nowMs())
+            receivedAnnouncements.removeExpired(nowMs())
             for (zone in announcementsByZone.keys - partitions.keys) announcementsByZone.remove(zone)
             for (partition in partitions.values.toList()) update(partition)
         }
@@ -89,7 +89,7 @@
     /** Sends [message]; returns how many idle partitions [controller] has after it, or null without a response. */
     private suspend fun send(controller: String, message: PeerMessage): Int? {
         val response = if (controller == label) {
-            announcedHere.respondTo(message, nowMs())
+            receivedAnnouncements.respondTo(message, nowMs())
         } else {
             peers[controller]?.call(message, PEER_RESPONSE_TIMEOUT_MS)
         }
