--- a/src/main/kotlin/io/otterknot/rebalance/ClusterPressure.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/ClusterPressure.kt
@@ -3,11 +3,11 @@
 import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 
-/** The pressure on all partitions, as one controller sees it at one moment. */
+/** The load and team usage of all partitions at one time, as available to this controller. */
 class ClusterPressure(val partitions: Map<String, PartitionPressure>, private val teams: Map<String, TeamEntitlement>) {
     private val runS = partitions.values.mapNotNull { it.meanRunS }.ifEmpty { null }?.average() ?: DEFAULT_RUN_TIME_S
 
-    /** Only cores, unless all leaders publish the memory and cards of their machines. */
+    /** Total capacity; cores only, unless all leaders publish the memory and GPUs of their machines. */
     private val capacity: Resources = totalCapacity().let { total ->
         val isPublishedByAll = partitions.values.all { it.teams != null }
         if (isPublishedByAll) total else Resources(cores = total.cores)
@@ -22,39 +22,41 @@
         }
     }
 
-    /** What [team] uses in all partitions whose leaders publish it; too low if one does not. */
+    /** Resources that [team] uses in all partitions; too low if a leader does not publish usage by team. */
     fun used(team: String): Resources = used[team] ?: Resources.NONE
 
     fun dominantShare(team: String): Double = used(team).dominantShare(capacity)
 
-    /** The share of the cluster that each team is due. */
+    /** The fair share of the cluster of each team. */
     val fairShares: Map<String, Double> by lazy(LazyThreadSafetyMode.NONE) {
-        FairShares.of(teams.map { (team, terms) -> demand(team, terms) })
+        FairShares.of(teams.map { (team, entitlement) -> demand(team, entitlement) })
     }
 
-    private fun demand(team: String, terms: TeamEntitlement): TeamDemand {
+    private fun demand(team: String, entitlement: TeamEntitlement): TeamDemand {
         val waiting = partitions.values.sumOf { it.teams?.get(team)?.waitingCores ?: 0.0 }
         val demand = (used(team) + Resources(cores = waiting)).dominantShare(capacity)
-        val guaranteed = Resources(cores = terms.guaranteedCores, cards = terms.guaranteedCards)
-        return TeamDemand(team, demand, guaranteed.dominantShare(capacity), terms.weight)
+        val guaranteed = Resources(cores = entitlement.guaranteedCores, cards = entitlement.guaranteedCards)
+        return TeamDemand(team, demand, guaranteed.dominantShare(capacity), entitlement.weight)
     }
 
     /**
-     * Of what a team uses in [zone], how much is above its guarantee: its excess in all partitions falls on each in
-     * proportion to what it uses there, so leaders that decide independently do not take more than that together.
+     * Cores that [team] uses in [zone] above its guarantee. The team's excess in the cluster is divided among the
+     * partitions in proportion to the cores it uses there, so that leaders that decide independently never stop more
+     * than the excess in total.
      */
     fun excessCores(team: String, zone: String): Double {
         val all = used(team).cores
-        val terms = teams[team]
-        if (all <= 0 || terms == null) return 0.0
+        val entitlement = teams[team]
+        if (all <= 0 || entitlement == null) return 0.0
         val here = partitions[zone]?.teams?.get(team)?.used?.cores ?: 0.0
-        return maxOf(0.0, all - terms.guaranteedCores) * here / all
+        return maxOf(0.0, all - entitlement.guaranteedCores) * here / all
     }
 
     /**
-     * Expected wait in seconds of a further task of [team] in [zone]. With free capacity it is proportional to the mean
-     * load, as in Saqr. With a queue the team waits for its own waiting tasks at its share of the cores, since fair
-     * share serves the teams in turn, but never longer than for the whole queue.
+     * Expected wait in seconds of another task of [team] in [zone]. Up to a mean load of 1 it is proportional to the
+     * mean load, as in Saqr. With a queue, the task waits for the team's own waiting tasks, which start at the rate of
+     * the team's share of the cores because fair share alternates between teams; the wait for the entire queue is the
+     * upper bound.
      */
     fun waitS(team: String, zone: String, spec: JobSpec): Double {
         val partition = partitions.getValue(zone)
@@ -62,11 +64,11 @@
         val mean = partition.meanFor(spec)
         if (mean <= 1.0) return mean * runS
         val queue = mean - 1.0
-        val own = partition.teams?.let { ownQueue(team, partition, it) } ?: queue
+        val own = partition.teams?.let { teamQueue(team, partition, it) } ?: queue
         return (1.0 + minOf(queue, own)) * runS
     }
 
-    private fun ownQueue(team: String, partition: PartitionPressure, there: Map<String, TeamPressure>): Double {
+    private fun teamQueue(team: String, partition: PartitionPressure, there: Map<String, TeamPressure>): Double {
         val contending = there.filter { (_, pressure) -> pressure.waitingCores > 0 }.keys + team
         val weight = teams[team]?.weight ?: 1.0
         val share = weight / contending.sumOf { teams[it]?.weight ?: 1.0 }
@@ -74,7 +76,7 @@
         return waiting / (maxOf(partition.capacity.cores, 1.0) * share)
     }
 
-    /** How long tasks run in [zone]. */
+    /** Mean run time of tasks in [zone] in seconds; the mean of all partitions if it is unknown there. */
     fun runS(zone: String): Double = partitions[zone]?.meanRunS ?: runS
 
     private companion object {
--- a/src/main/kotlin/io/otterknot/rebalance/DrainPlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/DrainPlanner.kt
@@ -3,8 +3,8 @@
 import io.otterknot.config.LoadSpreadSettings
 
 /**
- * Decides which tasks on draining machines are stopped because they complete sooner elsewhere, above all those on slow
- * machines. PROTOCOL allows a task to be stopped in order to drain its machine.
+ * Chooses the tasks on draining machines that are stopped because they complete sooner on another machine, mainly tasks
+ * on slow machines. PROTOCOL allows a task to be stopped in order to drain its machine.
  */
 internal class DrainPlanner(private val settings: LoadSpreadSettings) {
     private val weights = CostWeights(settings)
@@ -33,7 +33,7 @@
         else -> null
     }
 
-    /** How many weighted seconds sooner the task would complete on another machine of the partition. */
+    /** Returns how many weighted seconds sooner the task would complete on another machine of the partition. */
     private fun gain(task: RunningTask, machine: MachineSnapshot, snapshot: PlannerSnapshot): Double {
         val spec = task.spec
         val partition = snapshot.cluster.partitions.getValue(snapshot.zone)
@@ -44,7 +44,7 @@
             0.0,
             snapshot.cluster.waitS(task.team, snapshot.zone, spec) - snapshot.cluster.runS(snapshot.zone),
         )
-        // Progress without a checkpoint is repeated there; stopCost has the cost of that.
+        // The other machine repeats progress that was not checkpointed; stopCost includes it.
         val there = PlaceCost(queueS + task.remainingS, image, stop = task.stopCost)
         return LocalityCost.gain(here, there, weights)
     }
--- a/src/main/kotlin/io/otterknot/rebalance/GuaranteePlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/GuaranteePlanner.kt
@@ -3,17 +3,17 @@
 import io.otterknot.config.LoadSpreadSettings
 
 /**
- * Decides which running tasks are stopped so that a team gets its guaranteed quota. Only tasks of teams above their own
- * guarantee are stopped, in total never more cores than the excess, and no task that is itself within a guarantee. The
- * scheduler places work within a guarantee first, so it also gets the capacity that completions free; a task is stopped
- * only where waiting for these would take too long.
+ * Chooses the running tasks that are stopped so that a team gets its guaranteed quota. Only tasks of teams above their
+ * own guarantee are stopped, for each team at most as many cores as its excess, and never a task within a guarantee.
+ * The scheduler places work within a guarantee first, so this work also gets the capacity that completions free; tasks
+ * are stopped only where waiting for completions would take too long.
  */
 internal class GuaranteePlanner(private val settings: LoadSpreadSettings) {
     private val weights = CostWeights(settings)
 
     fun plan(snapshot: PlannerSnapshot, limits: StopLimits): MovePlan = PlanningRound(snapshot, limits).plan()
 
-    /** The state of one plan: what is chosen so far, and the capacity that this leaves. */
+    /** The state of one planning pass: the moves chosen so far and the remaining capacity. */
     private inner class PlanningRound(private val snapshot: PlannerSnapshot, private val limits: StopLimits) {
         private val plan = MovePlanBuilder()
         private val capacities = snapshot.machines.filterNot { it.draining }.map { MachineCapacity(it, settings) }
@@ -34,14 +34,14 @@
             return plan.build()
         }
 
-        /** Cores that completions free in the partition within the margin, extrapolated from the sampled machines. */
+        /** Cores that completions will free within [LoadSpreadSettings.marginS], extrapolated from the sample. */
         private fun coresFreedWithinMargin(): Double = snapshot.machines
             .filterNot { it.draining }
             .flatMap { it.tasks }
             .filter { it.remainingS <= settings.marginS }
             .sumOf { it.spec.cores } / snapshot.sampledShare
 
-        /** Plans stops for each startable task of [job] without one in progress; false: no further stop is possible. */
+        /** Plans stops for each startable task of [job] without a stop in progress; returns false if one is refused. */
         private fun planStops(job: WaitingJob): Boolean {
             val stopsInProgress = snapshot.open.stopsForJob[job.spec.id] ?: 0
             repeat(job.startable - stopsInProgress) {
@@ -52,7 +52,7 @@
             return true
         }
 
-        /** Chooses the machine where one task of [job] gets capacity by stops; the reason if there is none. */
+        /** Plans the stops that free capacity for one task of [job]; returns null, or the reason if none is planned. */
         private fun planStopsForOneTask(job: WaitingJob): RefusalReason? {
             val best = capacities.filter { it.machine.allows(job.spec) }
                 .mapNotNull { it.stopCandidate(job, limits, weights) }
@@ -70,7 +70,10 @@
         }
     }
 
-    /** [capacityExpectedSoon]: completions free enough for all work within guarantees up to this job. */
+    /**
+     * Returns why no task is stopped for [job], or null if tasks may be stopped. [capacityExpectedSoon]: whether
+     * completions free enough capacity for all work within guarantees up to and including this job.
+     */
     private fun refusalReason(job: WaitingJob, capacityExpectedSoon: Boolean): RefusalReason? = when {
         job.waitedS < settings.patienceS -> RefusalReason.WAIT_TOO_SHORT
         capacityExpectedSoon -> RefusalReason.CAPACITY_EXPECTED_SOON
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
@@ -13,9 +13,9 @@
 import kotlin.random.Random
 
 /**
- * Keeps busy teams from crowding others out: plans which waiting tasks are reassigned to another partition, and which
- * running tasks are stopped to be placed anew. The partition's scheduler places them as any other task. The settings
- * are read in each round, so that load spread can be switched on and off at run time.
+ * Prevents teams with high demand from displacing others: plans which waiting tasks are reassigned to another partition
+ * and which running tasks are stopped to be placed again. The partition's scheduler places them like any other task.
+ * The settings are read in each round, so that load spread can be switched on and off at run time.
  */
 class LoadSpread(
     private val host: LoadSpreadHost,
@@ -29,22 +29,22 @@
     private val quotaCoverage = QuotaCoverage(host.teams)
     private val rebalancers = HashMap<String, PartitionRebalancer>()
 
-    /** Zones whose partition has a leader; looked up once for all plans of a round. */
+    /** Zones whose partition has a leader; determined once for all plans of a round. */
     private var ledZones = emptyList<String>()
     private var activeSettings = LoadSpreadSettings()
     private var overloadedUntilMs = Long.MIN_VALUE
     private var coverageUpdatedMs = Long.MIN_VALUE / 2
 
-    /** Whether load spread decides the reassignments of the partition of [zone]: it acts there and is not paused. */
+    /** Whether load spread decides the reassignments of the partition of [zone]: mode is `ACT` and it is not paused. */
     fun decidesReassignments(zone: String): Boolean =
         activeSettings.mode == LoadSpreadMode.ACT && activeSettings.reassignsTasks &&
             rebalancers[zone]?.isPlanning == true
 
-    /** The pressure that the leader of [partition] publishes with its mean load; null while load spread is off. */
+    /** Returns the pressure that the leader of [partition] publishes, or null if load spread is off. */
     fun record(partition: Partition): PressureRecord? =
         if (activeSettings.isOn) pressureTracker.record(partition) else null
 
-    /** Moves that have ended, by kind and state, in the partitions led now. */
+    /** Returns the number of ended moves by kind and final state, in the partitions that this controller leads. */
     fun endedMoveCounts(): Map<Pair<MoveKind, MoveState>, Int> {
         val sum = HashMap<Pair<MoveKind, MoveState>, Int>()
         for (rebalancer in rebalancers.values) {
@@ -53,14 +53,14 @@
         return sum
     }
 
-    /** Runs until cancelled. */
+    /** Runs planning rounds until cancelled; pauses planning if a delay shows that the controller is overloaded. */
     suspend fun run() = coroutineScope {
         while (true) {
             val before = nowMs()
             val pauseMs = if (activeSettings.isOn) pauseMs() else SETTINGS_POLL_MS
             delay(pauseMs)
-            val late = nowMs() - before - pauseMs
-            if (late > OVERLOAD_DELAY_MS) overloadedUntilMs = nowMs() + OVERLOAD_PAUSE_MS
+            val delayedMs = nowMs() - before - pauseMs
+            if (delayedMs > OVERLOAD_DELAY_MS) overloadedUntilMs = nowMs() + OVERLOAD_PAUSE_MS
             applySettings()
             if (activeSettings.isOn) runRound(this)
         }
@@ -69,14 +69,14 @@
     private fun pauseMs(): Long = (activeSettings.planEveryS * 1000).toLong() + random.nextLong(PLAN_JITTER_MS)
 
     private fun applySettings() {
-        val wanted = settings()
-        if (wanted == activeSettings) return
-        activeSettings = wanted
+        val newSettings = settings()
+        if (newSettings == activeSettings) return
+        activeSettings = newSettings
         for (rebalancer in rebalancers.values) rebalancer.close(nowMs())
         rebalancers.clear()
         for (partition in host.partitions.values) {
             partition.markCovered(nowMs(), beforeAll = false) { false }
-            if (!wanted.isOn) partition.waitingWork.unfollow()
+            if (!newSettings.isOn) partition.waitingWork.unfollow()
         }
     }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /** One rebalancer for each partition that this controller leads, under the fencing token that it leads it with. */
+    /** Keeps one rebalancer for each partition and fencing token that this controller leads; closes the others. */
     private fun reconcileRebalancers(now: Long) {
         val ended = rebalancers.values.filter { host.partitions[it.partition.zone] !== it.partition }
         for (rebalancer in ended) {
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpreadHost.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpreadHost.kt
@@ -6,7 +6,7 @@
 import io.otterknot.scheduling.PartitionView
 import io.otterknot.wire.JobSpec
 
-/** What load spread reads from the controller that it runs in. */
+/** State of the controller that load spread reads. */
 interface LoadSpreadHost {
     val partitions: Map<String, Partition>
     val views: Map<String, PartitionView>
@@ -18,7 +18,7 @@
     /** Whether this controller may act as the leader of [partition] now. */
     fun mayActFor(partition: Partition): Boolean
 
-    /** Whether the state service answers this controller. */
+    /** Whether the state service responds to this controller. */
     val isStoreAvailable: Boolean
 
     /** Whether the partition of [zone] has a leader. */
--- a/src/main/kotlin/io/otterknot/rebalance/LocalityCost.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LocalityCost.kt
@@ -2,19 +2,19 @@
 
 import io.otterknot.config.LoadSpreadSettings
 
-/** What a second of each kind counts, against a second of waiting. */
+/** Weights of a second of image fetch and a second of lost work, relative to a second of waiting. */
 data class CostWeights(val fetch: Double, val lostWork: Double) {
     constructor(settings: LoadSpreadSettings) : this(settings.fetchWeight, settings.lostWorkWeight)
 }
 
-/** Locality against spread: the cost of a place in seconds, so that a fetch can be weighed against a queue. */
+/** Expresses the cost of running at a place in seconds, so that an image fetch can be compared with a queue. */
 object LocalityCost {
-    /** Until the work begins there, in weighted seconds. */
+    /** Returns the weighted seconds until the work starts at [place], plus the weighted work lost by the move. */
     fun seconds(place: PlaceCost, weights: CostWeights): Double =
         place.waitS + place.moveS + place.image.seconds * weights.fetch +
             (place.stop?.seconds ?: 0.0) * weights.lostWork
 
-    /** What is gained by [there] against [here]; negative: it is better off where it is. */
+    /** Returns the weighted seconds gained by moving from [here] to [there]; negative if staying is better. */
     fun gain(here: PlaceCost, there: PlaceCost, weights: CostWeights): Double =
         seconds(here, weights) - seconds(there, weights)
 }
--- a/src/main/kotlin/io/otterknot/rebalance/LostWorkBudget.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LostWorkBudget.kt
@@ -1,9 +1,9 @@
 package io.otterknot.rebalance
 
 /**
- * Token bucket for work that stops may throw away, in core-seconds: it refills by a share of the partition's cores and
- * holds at most a minute's share. It starts empty, so that a new leader does not begin with a wave of stops. In a
- * partition so small that a minute's share would never pay for one task it holds [MIN_CAP_CORE_S].
+ * Token bucket for the work lost by stops, in core-seconds. It refills by a share of the partition's cores and holds at
+ * most [MAX_ACCRUAL_S] seconds of refill. It starts empty, so that a new leader does not begin with a burst of stops.
+ * Its capacity is at least [MIN_CAP_CORE_S]: in a small partition a minute of refill would never allow one stop.
  */
 class LostWorkBudget(private var atMs: Long) {
     var availableCoreS = 0.0
--- a/src/main/kotlin/io/otterknot/rebalance/MachineCapacity.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MachineCapacity.kt
@@ -3,17 +3,17 @@
 import io.otterknot.config.LoadSpreadSettings
 import io.otterknot.scheduling.Resources
 
-/** The [tasks] of one machine to stop so that one task fits there; [cost] in weighted core-seconds. */
+/** The [tasks] of one machine to stop so that one waiting task fits there; [cost] in weighted core-seconds. */
 internal class StopCandidate(val capacity: MachineCapacity, val tasks: List<RunningTask>, val cost: Double)
 
-/** The free capacity of one [machine] while one plan is made: stops planned so far count as done. */
+/** The free capacity of one [machine] during planning; tasks with a planned stop count as stopped. */
 internal class MachineCapacity(val machine: MachineSnapshot, private val settings: LoadSpreadSettings) {
     private var free = machine.free
     private val stoppedAttempts = HashSet<Long>()
 
     /**
-     * The tasks to stop so that one task of [job] fits, the least urgent and those that lose least first; null if it
-     * would not fit even then, or fits without any stop.
+     * Returns the tasks to stop so that one task of [job] fits: the least urgent first, then those that lose the least
+     * work. Returns null if the task does not fit even then, or fits without a stop.
      */
     fun stopCandidate(job: WaitingJob, limits: StopLimits, weights: CostWeights): StopCandidate? {
         val needed = Resources.of(job.spec)
@@ -45,7 +45,7 @@
         return chosen.sumOf { it.lostCoreS } * weights.lostWork + image.seconds * job.spec.cores * weights.fetch
     }
 
-    /** Counts [stopped] as gone, and one task of [job] as placed here. */
+    /** Counts the tasks [stopped] as stopped and one task of [job] as placed here. */
     fun replace(stopped: List<RunningTask>, job: WaitingJob) {
         for (task in stopped) {
             free += Resources.of(task.spec)
@@ -55,7 +55,7 @@
     }
 
     private companion object {
-        /** The least urgent first, then what loses least. */
+        /** The least urgent first, then those that lose the least work. */
         val LEAST_URGENT_FIRST =
             compareByDescending<RunningTask> { it.priority }.thenBy { it.lostCoreS }.thenBy { it.attempt }
     }
--- a/src/main/kotlin/io/otterknot/rebalance/MachineSnapshot.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MachineSnapshot.kt
@@ -3,7 +3,7 @@
 import io.otterknot.scheduling.Resources
 import io.otterknot.wire.JobSpec
 
-/** A machine, as the planner sees it. */
+/** The state of a machine on which a plan is based. */
 data class MachineSnapshot(
     val id: String,
     val type: String,
@@ -12,14 +12,14 @@
     val fetchGbPerS: Double,
     val hasImage: (String) -> Boolean,
     val tasks: List<RunningTask>,
-    /** It takes no new work, since it is slow or faulty; its tasks are to go elsewhere. */
+    /** Whether the machine accepts no new tasks because it is slow or faulty; its tasks may be stopped to move them. */
     val draining: Boolean = false,
-    /** How many times as long as elsewhere tasks take here. */
+    /** Ratio of task run times here to those on other machines. */
     val slowness: Double = 1.0,
 ) {
     fun allows(spec: JobSpec): Boolean = (spec.spot || !spot) && (spec.types == null || type in spec.types)
 
-    /** The move that stops [task], which is on this machine, in the partition of [zone]. */
+    /** Returns the move that stops [task] on this machine, in the partition of [zone]. */
     fun stop(task: RunningTask, zone: String, reason: MoveReason, gainS: Double, beneficiary: String?) = Move.Stop(
         zone = zone,
         team = task.team,
--- a/src/main/kotlin/io/otterknot/rebalance/Move.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/Move.kt
@@ -1,6 +1,6 @@
 package io.otterknot.rebalance
 
-/** A planned move of work of one job. */
+/** A planned move of tasks of one job. */
 sealed interface Move {
     val zone: String
     val team: String
@@ -8,19 +8,19 @@
     val reason: MoveReason
     val gainS: Double
 
-    /** Waiting tasks of [job] with [cores] cores go to the partition of zone [target]. */
+    /** Reassigns waiting tasks of [job], [cores] cores in total, to the partition of zone [target]. */
     data class Reassignment(
         override val zone: String,
         override val team: String,
         override val job: String,
         override val reason: MoveReason,
         override val gainS: Double,
-        /** Total cores of the tasks to move; all of a job's waiting tasks if it must stay in one zone. */
+        /** Total cores of the tasks to move; those of all waiting tasks if the job must run in one zone. */
         val cores: Double,
         val target: String,
     ) : Move
 
-    /** The running [task] of [job] is stopped, so that it is placed anew. */
+    /** Stops the running [task] of [job], so that the scheduler places it again. */
     data class Stop(
         override val zone: String,
         override val team: String,
@@ -31,9 +31,9 @@
         val attempt: Long,
         val machine: String,
         val cores: Double,
-        /** Core-seconds that are thrown away. */
+        /** Core-seconds of work lost by the stop. */
         val lostCoreS: Double,
-        /** The job that gets the freed capacity; null: none in particular. */
+        /** The job for which capacity is freed, or null if the stop is for no specific job. */
         val beneficiary: String?,
     ) : Move
 }
--- a/src/main/kotlin/io/otterknot/rebalance/MoveEvent.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveEvent.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** One load-spread line of a controller's log; its JSON is a format that `otterknot moves` reads. */
+/** A load-spread event in a controller's log; `otterknot moves` parses its JSON, so the format must not change. */
 @Serializable
 sealed interface MoveEvent {
     /** A move has ended. */
@@ -17,14 +17,14 @@
         val state: MoveState,
         val reason: MoveReason,
         val gainS: Double,
-        /** How many tasks were moved. */
+        /** Number of tasks moved. */
         val tasks: Int,
         val target: String? = null,
         val beneficiary: String? = null,
         val lostCoreS: Double = 0.0,
         val outcome: MoveOutcome? = null,
         val tookMs: Long? = null,
-        /** Whether it was only planned, since load spread observes. */
+        /** Whether the move was only planned because load spread runs in observe mode. */
         val planned: Boolean = false,
     ) : MoveEvent
 
@@ -34,11 +34,11 @@
     data class Summary(
         val zone: String,
         val seconds: Double,
-        /** By team: how often a move of one of its jobs was refused, by reason. */
+        /** By team: number of refused moves of its jobs, by reason. */
         val refused: Map<String, Map<RefusalReason, Int>> = emptyMap(),
-        /** How many plans were not made, by reason. */
+        /** Number of planning rounds skipped, by reason. */
         val paused: Map<PlanningPauseReason, Int> = emptyMap(),
-        /** By team: task-seconds of waiting, by cause. */
+        /** By team: task-seconds of waiting by cause. */
         val waits: Map<String, Map<WaitCause, Double>> = emptyMap(),
     ) : MoveEvent
 }
--- a/src/main/kotlin/io/otterknot/rebalance/MoveExecutor.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveExecutor.kt
@@ -5,8 +5,8 @@
 import io.otterknot.reassignment.ReassignmentTransactions
 
 /**
- * Executes the moves of one partition and tracks them. It keeps nothing durable: stops are commands in heartbeat
- * responses, reassignments are compare-and-swap transactions, both the same as without load spread.
+ * Executes and tracks the moves of one partition. It stores no durable state: stops are sent as commands in heartbeat
+ * responses and reassignments are compare-and-swap transactions, the same as without load spread.
  */
 class MoveExecutor(
     private val partition: Partition,
@@ -19,7 +19,7 @@
 ) {
     private val open = ArrayList<OpenMove>()
 
-    /** Handovers are under way. */
+    /** Whether reassignments are in progress. */
     private var isReassigning = false
 
     fun summarizeOpenMoves(): OpenMoves {
@@ -36,7 +36,7 @@
         )
     }
 
-    /** Begins to stop a task; a task that is no longer where the plan saw it makes the move [MoveState.ABANDONED]. */
+    /** Starts to stop a task. If it no longer runs on the planned machine, the move ends [MoveState.ABANDONED]. */
     fun stop(move: Move.Stop, now: Long) {
         val attempt = partition.machine(move.machine)?.attempts?.get(move.attempt)
         val isRunningThere = attempt != null && !attempt.stopping && attempt.occupiesMachine
@@ -46,13 +46,13 @@
         }
         history.recordStop(move.job, move.task, now)
         budget.consume(move.lostCoreS)
-        val followed = OpenMove(move, partition, attempt, now)
-        open.add(followed)
+        val openMove = OpenMove(move, partition, attempt, now)
+        open.add(openMove)
         journal.proposed(move)
-        followed.begin(now)
+        openMove.requestStop(now)
     }
 
-    /** Brings the open moves up to date and logs those that have ended. */
+    /** Updates the state of the open moves and logs those that have ended. */
     fun advance(now: Long) {
         if (open.isEmpty()) return
         val isLeader = leadsPartition()
@@ -62,7 +62,7 @@
         open.removeIf { it.state.isFinal }
     }
 
-    /** Reassigns waiting tasks, one move after the other; returns once all outcomes are known. No-op while one runs. */
+    /** Executes [moves] one by one and returns when all have ended. Does nothing if another call is in progress. */
     suspend fun reassign(moves: List<Move.Reassignment>) {
         if (isReassigning) return
         isReassigning = true
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Stops tracking all open moves: the partition has another leader, or load spread was switched off. */
+    /** Stops tracking all open moves; called when the partition has another leader or the settings have changed. */
     fun stopTracking(now: Long) {
         for (move in open) {
             move.advance(now, leadsPartition())
--- a/src/main/kotlin/io/otterknot/rebalance/MoveHistory.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveHistory.kt
@@ -4,8 +4,8 @@
 import io.otterknot.scheduling.PartitionJob
 
 /**
- * Recent moves of one partition, so that no task or job is moved again at once: tasks that were stopped, and jobs with
- * tasks that another partition reassigned to this one. [evictExpired] drops entries that no longer matter.
+ * Recent moves of one partition: stopped tasks, and jobs with tasks that were reassigned from another partition. It
+ * prevents a task or job from being moved again shortly after a move. [evictExpired] removes expired entries.
  */
 class MoveHistory {
     private val stoppedMs = HashMap<String, Long>()
@@ -14,7 +14,7 @@
 
     private class Arrival(var owned: Int, var arrivedMs: Long?)
 
-    /** Remembers that [task] of [job] was stopped, for its cooldown. */
+    /** Records that [task] of [job] was stopped; its cooldown starts. */
     fun recordStop(job: String, task: Int, nowMs: Long) {
         stoppedMs["$job/$task"] = nowMs
     }
@@ -25,20 +25,21 @@
         return stoppedMs["$job/$task"]?.let { nowMs - it < cooldownMs } ?: false
     }
 
-    /** Seconds since tasks of [job] were last reassigned to this partition; null: never, as far as is known. */
+    /** Returns seconds since tasks of [job] were last reassigned to this partition, or null if none are known to be. */
     fun secondsSinceArrival(job: String, nowMs: Long): Double? = arrivals[job]?.arrivedMs?.let { (nowMs - it) / 1000.0 }
 
     /**
-     * Detects arrivals among the [waiting] jobs since the last call: a job that owns more tasks than before, or one
-     * first seen long after its submission. At the first call nothing is known of where the jobs were before.
+     * Detects reassignments to this partition since the last call: a job among [waiting] that owns more tasks here than
+     * before, or that is first observed long after its submission. The first call only records the current state,
+     * since it cannot distinguish jobs that were already here.
      */
     fun recordArrivals(waiting: List<PartitionJob>, nowMs: Long, wallMs: Long) {
         for (job in waiting) {
             val owned = job.owned.cardinality()
             val before = arrivals[job.id]
             if (before == null) {
-                val cameFromElsewhere = hasObservedOnce && wallMs - job.readyMs > MAX_FIRST_SIGHT_DELAY_MS
-                arrivals[job.id] = Arrival(owned, nowMs.takeIf { cameFromElsewhere })
+                val wasReassigned = hasObservedOnce && wallMs - job.readyMs > MAX_FIRST_OBSERVATION_DELAY_MS
+                arrivals[job.id] = Arrival(owned, nowMs.takeIf { wasReassigned })
                 continue
             }
             if (owned > before.owned) before.arrivedMs = nowMs
@@ -47,14 +48,14 @@
         hasObservedOnce = true
     }
 
-    /** Drops expired cooldowns and jobs that the partition no longer has. */
+    /** Removes expired cooldowns and jobs that the partition no longer has. */
     fun evictExpired(partition: Partition, nowMs: Long, cooldownMs: Long) {
         stoppedMs.values.removeIf { nowMs - it >= cooldownMs }
         arrivals.keys.removeIf { partition.job(it) == null }
     }
 
     private companion object {
-        /** A job first seen later than this after its submission has waited in another partition. */
-        const val MAX_FIRST_SIGHT_DELAY_MS = 4_000L
+        /** A job first observed later than this after its submission has waited in another partition. */
+        const val MAX_FIRST_OBSERVATION_DELAY_MS = 4_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/MoveJournal.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveJournal.kt
@@ -3,22 +3,22 @@
 import io.otterknot.wire.WireJson
 import org.slf4j.LoggerFactory
 
-/** Logs the moves of one partition and summaries of refusals and pauses; `otterknot moves` reads these lines. */
+/** Logs the moves of one partition and summaries of refusals, pauses and waits; `otterknot moves` parses them. */
 class MoveJournal(private val zone: String, private var sinceMs: Long, private val observeOnly: Boolean) {
     private val log = LoggerFactory.getLogger(MoveJournal::class.java)
     private val refused = HashMap<String, HashMap<RefusalReason, Int>>()
     private val paused = HashMap<PlanningPauseReason, Int>()
     private val waits = HashMap<String, HashMap<WaitCause, Double>>()
 
-    /** Moves that ended since this journal was made, by kind and state. */
+    /** Number of moves ended since this journal was created, by kind and state. */
     val endedMoveCounts = HashMap<Pair<MoveKind, MoveState>, Int>()
 
-    /** Logs a move whose execution begins. */
+    /** Logs a move whose execution starts. */
     fun proposed(move: Move) {
-        log.debug("partition={} move proposed move={}", zone, move)
+        log.debug("partition={} move={} move proposed", zone, move)
     }
 
-    /** Logs a move that is not tracked: planned only, or over at once. */
+    /** Logs a move that is not tracked: only planned, abandoned before it started, or a reassignment. */
     fun ended(move: Move, state: MoveState, outcome: MoveOutcome?, tasks: Int = 1) =
         logEnded(event(move, state, outcome, tasks, null, null))
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Counts a plan that was not made for the next summary. */
+    /** Counts a skipped planning round for the next summary. */
     fun paused(reason: PlanningPauseReason) {
         paused.merge(reason, 1, Int::plus)
     }
@@ -72,11 +72,11 @@
         if (taskSeconds > 0) waits.getOrPut(team) { HashMap() }.merge(cause, taskSeconds, Double::plus)
     }
 
-    /** Logs what has been counted since the last summary, if [SUMMARY_INTERVAL_MS] have passed. */
+    /** Logs and resets the counts since the last summary if [SUMMARY_INTERVAL_MS] have elapsed. */
     fun logSummaryIfDue(now: Long) {
         if (now - sinceMs < SUMMARY_INTERVAL_MS) return
-        val isQuiet = refused.isEmpty() && paused.isEmpty() && waits.isEmpty()
-        if (!isQuiet && log.isInfoEnabled) log.info("{}{}", MARK, encode(summary(now)))
+        val isSummaryEmpty = refused.isEmpty() && paused.isEmpty() && waits.isEmpty()
+        if (!isSummaryEmpty && log.isInfoEnabled) log.info("{}{}", MARK, encode(summary(now)))
         sinceMs = now
         refused.clear()
         paused.clear()
@@ -92,11 +92,11 @@
     )
 
     companion object {
-        /** Stands before the JSON in a line of the log; a format, never changed. */
+        /** Prefix of the JSON in a log line. It is part of the log format and must not change. */
         const val MARK = "load-spread "
         private const val SUMMARY_INTERVAL_MS = 30_000L
 
-        /** The JSON of [event], as it stands after [MARK]. */
+        /** Encodes [event] as the JSON that follows [MARK] in a log line. */
         fun encode(event: MoveEvent): String = WireJson.encodeToString(MoveEvent.serializer(), event)
 
         private fun rounded(value: Double) = Math.round(value * 10) / 10.0
--- a/src/main/kotlin/io/otterknot/rebalance/MoveKind.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveKind.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** How a move is carried out: waiting tasks are reassigned, a running task is stopped and placed anew. */
+/** How a move is executed: waiting tasks are reassigned, or a running task is stopped and placed again. */
 @Serializable
 enum class MoveKind {
     @SerialName("handover")
--- a/src/main/kotlin/io/otterknot/rebalance/MoveLogReport.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveLogReport.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** How many moves of one kind, reason and outcome ended. */
+/** Number of ended moves of one kind, reason, state and outcome. */
 @Serializable
 data class MoveCount(
     val kind: MoveKind,
@@ -25,7 +25,7 @@
     val waits: Map<WaitCause, Double>,
 )
 
-/** The load-spread events of controllers' logs, counted by team. */
+/** The load-spread events in the logs of controllers, aggregated by team. */
 @Serializable
 data class MoveLogReport(
     val events: Int,
--- a/src/main/kotlin/io/otterknot/rebalance/MoveOutcome.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveOutcome.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Why a move did not end as planned. */
+/** Why a move deviated from the plan. */
 @Serializable
 enum class MoveOutcome {
     @SerialName("the task completed first")
--- a/src/main/kotlin/io/otterknot/rebalance/MovePlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MovePlanner.kt
@@ -3,11 +3,11 @@
 import io.otterknot.config.LoadSpreadSettings
 
 /**
- * Plans the moves of one partition. The same snapshot always gives the same plan: it reads no clock, and what is random
- * in it, the sample of machines, was drawn when the snapshot was taken.
+ * Plans the moves of one partition. Planning is deterministic: it reads no clock, and the random sample of machines is
+ * drawn when the snapshot is built.
  */
 class MovePlanner(private val settings: LoadSpreadSettings) {
-    private val handOvers = ReassignmentPlanner(settings)
+    private val reassignments = ReassignmentPlanner(settings)
     private val guarantees = GuaranteePlanner(settings)
     private val drains = DrainPlanner(settings)
 
@@ -16,12 +16,15 @@
         val limits = StopLimits(settings, snapshot)
         if (settings.drains) parts.add(drains.plan(snapshot, limits))
         if (settings.guarantees) parts.add(guarantees.plan(snapshot, limits))
-        if (settings.reassignsTasks) parts.add(handOvers.plan(snapshot))
-        return MovePlan(withoutRepeats(parts.flatMap { it.moves }), parts.flatMap { it.refusals })
+        if (settings.reassignsTasks) parts.add(reassignments.plan(snapshot))
+        return MovePlan(withoutDuplicateStops(parts.flatMap { it.moves }), parts.flatMap { it.refusals })
     }
 
-    /** Keeps the first stop of each attempt: a task on a draining machine may be in the way of a guarantee as well. */
-    private fun withoutRepeats(moves: List<Move>): List<Move> {
+    /**
+     * Keeps only the first stop of each attempt: the drain planner and the guarantee planner may both choose a task on
+     * a draining machine.
+     */
+    private fun withoutDuplicateStops(moves: List<Move>): List<Move> {
         val stopped = HashSet<Long>()
         return moves.filter { it !is Move.Stop || stopped.add(it.attempt) }
     }
--- a/src/main/kotlin/io/otterknot/rebalance/MoveReason.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveReason.kt
@@ -6,19 +6,19 @@
 /** Why work is moved. */
 @Serializable
 enum class MoveReason {
-    /** It would wait less elsewhere, by more than the move costs. */
+    /** The wait in another partition is shorter, by at least the margin after the cost of the move. */
     @SerialName("shorter wait")
     SHORTER_WAIT,
 
-    /** It has waited long, and another partition has capacity. */
+    /** The job has waited long, and another partition has capacity. */
     @SerialName("overdue")
     OVERDUE,
 
-    /** It frees capacity for work within another team's guarantee. */
+    /** The stop frees capacity for work within another team's guarantee. */
     @SerialName("guarantee")
     GUARANTEE,
 
-    /** Its machine is draining, and it completes sooner elsewhere. */
+    /** The machine is draining, and the task completes sooner on another one. */
     @SerialName("drain")
     DRAIN,
 }
--- a/src/main/kotlin/io/otterknot/rebalance/MoveReport.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveReport.kt
@@ -5,7 +5,7 @@
 import kotlinx.serialization.SerializationException
 import java.util.TreeMap
 
-/** Reads the lines that [MoveJournal] wrote to controllers' logs and counts them by team, for `otterknot moves`. */
+/** Parses the lines that [MoveJournal] writes to controllers' logs and aggregates them by team (`otterknot moves`). */
 object MoveReport {
     private const val MARKED_JSON_START = MoveJournal.MARK + "{"
     private const val NO_EVENTS = "The log says nothing of load spread. Is it off, or LOG_LEVEL below info?"
@@ -13,7 +13,7 @@
     /** Whether [line] was written by [MoveJournal]. */
     fun isMarked(line: String): Boolean = MARKED_JSON_START in line
 
-    /** The event in one [line] of a log; null if the line is not one of [MoveJournal]. */
+    /** Parses the event in a log [line]; returns null if [MoveJournal] did not write the line. */
     @Throws(SerializationException::class)
     fun eventOf(line: String): MoveEvent? {
         val mark = line.indexOf(MARKED_JSON_START)
@@ -21,7 +21,7 @@
         return WireJson.decodeFromString(MoveEvent.serializer(), line.substring(mark + MoveJournal.MARK.length))
     }
 
-    /** Reads [lines] and counts their events by team; lines without the mark are passed over. */
+    /** Aggregates the events in [lines] by team; skips lines without [MoveJournal.MARK]. */
     fun of(lines: Sequence<String>): MoveLogReport {
         val events = ArrayList<MoveEvent>()
         var unreadable = 0
@@ -29,7 +29,7 @@
             try {
                 eventOf(line)?.let(events::add)
             } catch (expected: SerializationException) {
-                // An event of a newer version; the report says how many there were.
+                // Probably written by a newer version; the report contains the number of such lines.
                 unreadable++
             }
         }
@@ -66,7 +66,7 @@
         return sum
     }
 
-    /** The report as an operator reads it. */
+    /** Formats the report as plain text, one element per line. */
     fun text(report: MoveLogReport): List<String> {
         if (report.events == 0) return listOf(NO_EVENTS)
         val lines = ArrayList<String>()
@@ -97,7 +97,7 @@
         return "  ${count.moves} times a $kind for $reason: $state$outcome, ${count.tasks} tasks$lost"
     }
 
-    /** The name of an entry as it stands in the log. */
+    /** Returns the serial name of an enum entry, as written to the log. */
     private fun <E : Enum<E>> nameOf(serializer: KSerializer<E>, entry: E): String =
         serializer.descriptor.getElementName(entry.ordinal)
 }
--- a/src/main/kotlin/io/otterknot/rebalance/MoveState.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveState.kt
@@ -3,25 +3,25 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** How far a move has come. */
+/** Progress of a move. */
 @Serializable
 enum class MoveState {
     @SerialName("proposed")
     PROPOSED,
 
-    /** The task was commanded to stop, or will be with the next heartbeat response to its machine. */
+    /** The stop command was sent to the machine, or will be in the next heartbeat response. */
     @SerialName("stopping")
     STOPPING,
 
-    /** It has left its machine and waits. */
+    /** The task no longer occupies its machine and waits to be placed. */
     @SerialName("stopped")
     STOPPED,
 
-    /** It is on a machine again, or belongs to another partition. */
+    /** The task is assigned to a machine again, or belongs to another partition. */
     @SerialName("placed")
     PLACED,
 
-    /** The move failed; the task is an ordinary one again, or finished. */
+    /** The move failed or is no longer tracked; the task completed or is scheduled like any other. */
     @SerialName("abandoned")
     ABANDONED,
     ;
--- a/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/OpenMove.kt
@@ -5,12 +5,13 @@
 import io.otterknot.scheduling.PartitionJob
 
 /**
- * A running task on its way from one machine to another, as one leader tracks it. All state that matters is in the
- * [Partition]: should the leader fail at any step, the next one finds an ordinary task that runs, or one that waits.
+ * Tracks the stop of a running task until it is placed again. The authoritative state is in the [Partition]: if the
+ * leader fails at any step, the next leader finds an ordinary running or waiting task.
  *
- * Each step is derived from the partition's state, which heartbeats change. So a completion that crosses the stop
- * wins, since the task is recorded as completed; a cancellation wins over both, since the job has finished; and a stop
- * without a response ends with the machine's lease, after which the partition has no such attempt.
+ * Each step is derived from the partition's state, which heartbeats update:
+ * - If the task completes while the stop is in transit, the task is recorded as completed and the move is abandoned.
+ * - If the job is cancelled, the job has finished and the move is abandoned.
+ * - If the machine does not respond, the stop ends when its lease expires: the partition then removes the attempt.
  */
 class OpenMove(
     val move: Move.Stop,
@@ -25,19 +26,19 @@
     var outcome: MoveOutcome? = null
         private set
 
-    /** The machine that the task was placed on; null: not placed yet, or now in another partition. */
+    /** The machine on which the task was placed again, or null if it is not placed or is now in another partition. */
     var placedOn: String? = null
         private set
     private var stoppedMs = 0L
 
     /** Requests the stop of the attempt. */
-    fun begin(now: Long) {
+    fun requestStop(now: Long) {
         state = MoveState.STOPPING
         partition.stopForMove(attempt)
         advance(now, isLeader = true)
     }
 
-    /** Updates [state] from the partition; returns whether it has changed. */
+    /** Updates [state] from the partition and returns whether it has changed. */
     fun advance(now: Long, isLeader: Boolean): Boolean {
         val before = state
         when {
@@ -65,27 +66,27 @@
     private fun checkPlaced(now: Long) {
         val next = job.active.get(move.task)
         when {
-            next != null && next !== attempt -> place(next.machine.id)
-            !job.owned.get(move.task) -> place(null)
+            next != null && next !== attempt -> markPlaced(next.machine.id)
+            !job.owned.get(move.task) -> markPlaced(null)
             now - stoppedMs > MAX_TRACKED_WAIT_MS -> abandon(MoveOutcome.NOT_PLACED)
         }
     }
 
-    private fun place(machine: String?) {
+    private fun markPlaced(machine: String?) {
         placedOn = machine
         state = MoveState.PLACED
     }
 
-    private fun abandon(why: MoveOutcome) {
-        outcome = why
+    private fun abandon(reason: MoveOutcome) {
+        outcome = reason
         state = MoveState.ABANDONED
     }
 
-    /** Milliseconds since the move began. */
+    /** Returns the milliseconds since the move started. */
     fun elapsedMs(now: Long): Long = now - sinceMs
 
     private companion object {
-        /** Tracked no longer than this after the stop; the task then waits as any other. */
+        /** Maximum time a move is tracked after the stop; the task then waits like any other. */
         const val MAX_TRACKED_WAIT_MS = 120_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/OpenMoves.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/OpenMoves.kt
@@ -6,7 +6,7 @@
     val stopsByTeam: Map<String, Int> = emptyMap(),
     val stopsByJob: Map<String, Int> = emptyMap(),
     val stoppingCoresByTeam: Map<String, Double> = emptyMap(),
-    /** Tasks being stopped, by the job that gets the freed capacity. */
+    /** Number of tasks being stopped, by the job for which capacity is freed. */
     val stopsForJob: Map<String, Int> = emptyMap(),
     val reassignmentInProgress: Boolean = false,
 )
--- a/src/main/kotlin/io/otterknot/rebalance/PartitionRebalancer.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PartitionRebalancer.kt
@@ -8,8 +8,8 @@
 import kotlin.random.Random
 
 /**
- * Plans and executes the moves of one partition, as long as this controller leads it under one fencing token and the
- * settings stay the same.
+ * Plans and executes the moves of one partition while this controller leads it under one fencing token; it is replaced
+ * when the settings change.
  */
 internal class PartitionRebalancer(
     val partition: Partition,
@@ -31,13 +31,13 @@
     val journal = MoveJournal(partition.zone, now, observeOnly = !isActing)
     val moveExecutor = MoveExecutor(partition, reassignment, journal, history, budget) { isLed(partition) }
 
-    /** Whether the last round made a plan. */
+    /** Whether the last round made a plan; false after [close]. */
     var isPlanning = false
         private set
 
     /**
-     * One round: follows the open moves, plans, and begins the stops. Returns the reassignments to execute; none if
-     * [pausedBy] is not null or load spread only observes. [now]: steady clock; [wallMs]: time of day.
+     * Runs one round: updates the open moves, plans, and starts the planned stops. Returns the reassignments to
+     * execute; none if [pausedBy] is not null or load spread only observes. [now]: steady clock; [wallMs]: wall clock.
      */
     fun runRound(
         cluster: ClusterPressure,
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Ends this rebalancer: the partition has another leader, or the settings have changed. */
+    /** Stops planning and tracking; called when the partition has another leader or the settings have changed. */
     fun close(now: Long) {
         moveExecutor.stopTracking(now)
         isPlanning = false
--- a/src/main/kotlin/io/otterknot/rebalance/PlaceCost.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PlaceCost.kt
@@ -1,36 +1,36 @@
 package io.otterknot.rebalance
 
-/** The image of some work, at one place: how large it is, how fast it would come, and whether it is there. */
+/** The cost of an image at one place: whether it is present, its size and its fetch rate. */
 data class ImageCost(
     val isPresent: Boolean,
     val imageGb: Double,
     val fetchGbPerS: Double,
-    /** How many times as long as by that rate fetches take there, as measured. */
+    /** Ratio of measured fetch times to those expected at [fetchGbPerS]. */
     val measuredFactor: Double = 1.0,
-    /** How many images are fetched at the same time and share the rate, this one included. */
+    /** Number of concurrent fetches that share the rate, including this one. */
     val concurrentFetches: Int = 1,
 ) {
     val seconds: Double get() =
         if (isPresent || fetchGbPerS <= 0) 0.0 else imageGb / fetchGbPerS * measuredFactor * maxOf(1, concurrentFetches)
 }
 
-/** What stopping a running task would throw away. */
+/** The cost of stopping a running task. */
 data class StopCost(
     val elapsedS: Double,
-    /** The interval of progress after which it saves by itself; 0: it never saves. */
+    /** Interval of progress between checkpoints; 0 if the task makes no checkpoints. */
     val checkpointS: Double,
-    /** How long it takes to save when it is stopped. */
+    /** Time to write a checkpoint when the task is stopped. */
     val saveS: Double,
 ) {
-    /** Seconds of progress that are repeated elsewhere, and those that it takes to save. */
+    /** Seconds lost: the time to write a checkpoint, or all progress of a task without checkpoints. */
     val seconds: Double get() = if (checkpointS > 0) saveS else elapsedS
 }
 
-/** One place for some work: how long it waits there, what its image costs, and what it takes to get there. */
+/** The costs of running a task at one place: wait, image fetch, and the move there. */
 data class PlaceCost(
     val waitS: Double,
     val image: ImageCost,
     val moveS: Double = 0.0,
-    /** Null: it does not run anywhere yet. */
+    /** Cost of stopping the task, or null if it does not run yet. */
     val stop: StopCost? = null,
 )
--- a/src/main/kotlin/io/otterknot/rebalance/PlanningPauseReason.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PlanningPauseReason.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Why no plan is made for a partition. */
+/** Why planning is paused for a partition. */
 @Serializable
 enum class PlanningPauseReason {
     @SerialName("not its owner now")
--- a/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
@@ -8,25 +8,27 @@
 import io.otterknot.scheduling.Resources
 
 /**
- * Gathers the pressure on each partition: of partitions led here from their own state, which is kept up to date as it
- * changes; of others from what their leaders publish with their mean load.
+ * Determines the pressure on each partition: for partitions that this controller leads from their state, which is
+ * maintained incrementally; for others from the record that their leader publishes with the mean load.
  */
 class PressureTracker(
     teams: List<TeamSettings>,
     private val partitions: Map<String, Partition>,
     private val views: Map<String, PartitionView>,
 ) {
-    private val terms: Map<String, TeamEntitlement> = teams.associate {
+    private val entitlements: Map<String, TeamEntitlement> = teams.associate {
         it.name to TeamEntitlement(it.cpus, it.gpus, weight = if (it.cpus > 0) it.cpus else 1.0)
     }
 
-    /** The pressure on all partitions now. */
+    /** Returns the current pressure on all partitions. */
     fun clusterPressure(): ClusterPressure {
-        val all = views.keys.associateWith { zone -> partitions[zone]?.let(::own) ?: published(views.getValue(zone)) }
-        return ClusterPressure(all, terms)
+        val all = views.keys.associateWith { zone ->
+            partitions[zone]?.let(::fromPartition) ?: fromPublishedRecord(views.getValue(zone))
+        }
+        return ClusterPressure(all, entitlements)
     }
 
-    /** What the leader of [partition] publishes with its mean load. */
+    /** Returns the record that the leader of [partition] publishes with its mean load. */
     fun record(partition: Partition): PressureRecord {
         val capacity = partition.load.totalResources
         return PressureRecord(
@@ -47,7 +49,7 @@
         )
     }
 
-    private fun own(partition: Partition): PartitionPressure {
+    private fun fromPartition(partition: Partition): PartitionPressure {
         val load = partition.load
         return PartitionPressure(
             zone = partition.zone,
@@ -79,7 +81,7 @@
         return TeamPressure(partition.quota.usage(index), waiting.resources.cores, waiting.oldestReadyMs)
     }
 
-    private fun published(view: PartitionView): PartitionPressure {
+    private fun fromPublishedRecord(view: PartitionView): PartitionPressure {
         val record = view.pressure
         return PartitionPressure(
             zone = view.zone,
@@ -98,7 +100,7 @@
     }
 
     private companion object {
-        /** An image on this share of the machines is at hand: among two samples one has it more often than not. */
+        /** An image on this share of machines is published: one of two sampled machines then has it in 51% of cases. */
         const val COMMON_IMAGE_MACHINE_SHARE = 0.3
         const val MAX_PUBLISHED_IMAGES = 12
     }
--- a/src/main/kotlin/io/otterknot/rebalance/ReassignmentPlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/ReassignmentPlanner.kt
@@ -4,8 +4,9 @@
 import io.otterknot.scheduling.LongWaitPolicy
 
 /**
- * Decides which waiting tasks are reassigned to which partition: the one where they are expected to start sooner, the
- * image fetch and the reassignment itself included. Only as many go as make both waits equal, or they would oscillate.
+ * Chooses the waiting tasks that are reassigned, and their target: the partition where they are expected to start
+ * soonest, including the time for the image fetch and the reassignment. Only as many are moved as make the waits of
+ * both partitions equal, since more would make tasks oscillate between them.
  */
 class ReassignmentPlanner(private val settings: LoadSpreadSettings) {
     private val weights = CostWeights(settings)
@@ -20,15 +21,15 @@
         class Refuse(val reason: RefusalReason) : Choice
     }
 
-    /** A partition that tasks could go to, and how many weighted seconds sooner they would start there. */
+    /** A candidate partition and how many weighted seconds sooner tasks would start there. */
     private class Target(val zone: String, val gainS: Double)
 
-    /** The state of one plan. */
+    /** The state of one planning pass. */
     private inner class PlanningRound(private val snapshot: PlannerSnapshot) {
         private val cluster = snapshot.cluster
         private val plan = MovePlanBuilder()
 
-        /** Cores that the moves chosen so far bring to each partition; negative: take away. */
+        /** Cores that the moves chosen so far add to each partition; negative if they remove cores. */
         private val plannedCores = HashMap<String, Double>()
 
         fun plan(): MovePlan {
@@ -52,7 +53,7 @@
             refusalReason(job)?.let { return Choice.Refuse(it) }
             val target = bestTarget(job) ?: return Choice.Refuse(RefusalReason.NO_TARGET)
             val reason = moveReason(job, target) ?: return Choice.Refuse(RefusalReason.GAIN_TOO_SMALL)
-            return sized(job, target, reason)
+            return sizedChoice(job, target, reason)
         }
 
         private fun bestTarget(job: WaitingJob): Target? {
@@ -66,19 +67,19 @@
                 .maxWithOrNull(LARGEST_GAIN)
         }
 
-        /** Why [job] is worth moving to [target]; null: it is not. */
+        /** Returns the reason to move [job] to [target], or null if it is not moved. */
         private fun moveReason(job: WaitingJob, target: Target): MoveReason? {
             if (target.gainS >= settings.marginS) return MoveReason.SHORTER_WAIT
             val meanThere = cluster.partitions.getValue(target.zone).meanFor(job.spec)
             val meanHere = cluster.partitions.getValue(snapshot.zone).meanFor(job.spec)
-            // No task waits long while another partition has capacity, however small the gain.
+            // A job that has waited long is moved to a partition with capacity even if the gain is below the margin.
             val isOverdue =
                 LongWaitPolicy.mayMove(job.waitedS, meanThere) && meanHere - meanThere > LongWaitPolicy.MIN_MEAN_GAP
             return if (isOverdue) MoveReason.OVERDUE else null
         }
 
-        /** Moves as many cores of [job] as equalize both waits; a `sameZone` job goes as a whole or not at all. */
-        private fun sized(job: WaitingJob, target: Target, reason: MoveReason): Choice {
+        /** Moves as many cores of [job] as equalize both waits; a `sameZone` job is moved entirely or not at all. */
+        private fun sizedChoice(job: WaitingJob, target: Target, reason: MoveReason): Choice {
             val spec = job.spec
             val balancingCores = balancingCores(job, target)
             val isTooLarge = reason != MoveReason.OVERDUE && job.waitingCores > balancingCores * 2
@@ -89,7 +90,7 @@
             return Choice.Reassign(move)
         }
 
-        /** Half of the gain, in cores of the smaller partition: both waits are then equal. */
+        /** Returns the cores that equalize both waits: half of the gain, in cores of the smaller partition. */
         private fun balancingCores(job: WaitingJob, target: Target): Double {
             val here = cluster.partitions.getValue(snapshot.zone)
             val there = cluster.partitions.getValue(target.zone)
@@ -106,7 +107,7 @@
         }
     }
 
-    /** Why [job] is not considered for any target; null: it is. */
+    /** Returns why [job] cannot be reassigned to any partition, or null if it can. */
     private fun refusalReason(job: WaitingJob): RefusalReason? {
         val sinceArrivalS = job.secondsSinceArrival
         return when {
@@ -118,10 +119,10 @@
     }
 
     private companion object {
-        /** Partitions publish no rates; machine types differ little in theirs. */
+        /** Assumed fetch rate: partitions publish none, and the rates of machine types differ little. */
         const val NOMINAL_FETCH_GB_PER_S = 1.0
 
-        /** Of equal gains, the first zone by name. */
+        /** Largest gain; among equal gains, the first zone in alphabetical order. */
         val LARGEST_GAIN = compareBy<Target> { it.gainS }.thenByDescending { it.zone }
     }
 }
--- a/src/main/kotlin/io/otterknot/rebalance/RefusalReason.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/RefusalReason.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Why work is not moved that could be. */
+/** Why a job or task that was considered is not moved. */
 @Serializable
 enum class RefusalReason {
     @SerialName("bound to its zone")
--- a/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
@@ -11,15 +11,15 @@
 import kotlin.random.Random
 
 /**
- * Builds the [PlannerSnapshot] of a partition. The settings bound how many waiting jobs and how many machines it
- * examines; the machines are a sample drawn anew for each plan.
+ * Builds the [PlannerSnapshot] of a partition. The settings limit how many waiting jobs and machines are examined; a
+ * new sample of machines is drawn for each plan.
  */
 class SnapshotBuilder(
     private val settings: LoadSpreadSettings,
     private val targets: (JobSpec) -> List<String>,
     private val random: Random,
 ) {
-    /** Jobs, machines and attempts examined so far; tests measure the cost of a plan by it. */
+    /** Number of jobs, machines and attempts examined so far; tests use it to measure the cost of a plan. */
     var examinedItems = 0L
         private set
 
@@ -32,10 +32,10 @@
         now: Long,
         wallMs: Long,
     ): PlannerSnapshot {
-        val inOrder = partition.pendingJobsInOrder(now)
-        examinedItems += inOrder.size
-        history.recordArrivals(inOrder, now, wallMs)
-        val waiting = examined(inOrder).map { waiting(partition, it, history, now, wallMs) }
+        val byUrgency = partition.pendingJobsInOrder(now)
+        examinedItems += byUrgency.size
+        history.recordArrivals(byUrgency, now, wallMs)
+        val waiting = examined(byUrgency).map { waiting(partition, it, history, now, wallMs) }
         val needsStops = settings.guarantees && waiting.any { it.covered && it.startable > 0 }
         val machines = machines(partition, needsStops).map { machine(it, history, now) }
         val running = if (machines.isEmpty()) emptyList() else running(partition)
@@ -52,10 +52,10 @@
         )
     }
 
-    /** The jobs that a plan examines: those within a guarantee, and the most urgent others. */
-    private fun examined(inOrder: List<PartitionJob>): List<PartitionJob> {
-        val covered = inOrder.filter { it.covered }.take(settings.examinedJobs)
-        val others = inOrder.filterNot { it.covered }.take(settings.examinedJobs)
+    /** Returns the jobs to examine: the most urgent within a guarantee, then the most urgent others. */
+    private fun examined(byUrgency: List<PartitionJob>): List<PartitionJob> {
+        val covered = byUrgency.filter { it.covered }.take(settings.examinedJobs)
+        val others = byUrgency.filterNot { it.covered }.take(settings.examinedJobs)
         return covered + others
     }
 
@@ -75,16 +75,19 @@
         return if (isBackingOff) 0 else minOf(job.pendingCount, maxOf(0, partition.startableTasks(job)))
     }
 
-    /** Draining machines, and a sample of those in use if a task is to get capacity by stops. */
+    /** Returns draining machines, and a sample of those that accept tasks if capacity may be freed by stops. */
     private fun machines(partition: Partition, needsStops: Boolean): List<Machine> {
-        val draining = if (settings.drains) partition.machines.filter(::isEmptied) else emptyList()
+        val draining = if (settings.drains) partition.machines.filter(::needsDrain) else emptyList()
         if (!needsStops) return draining
         val usable = partition.machines.filter { it.acceptsTasks }
         return draining + sample(usable)
     }
 
-    /** A machine with a spot notice is emptied by the partition itself, within the time of the notice. */
-    private fun isEmptied(machine: Machine): Boolean =
+    /**
+     * Whether load spread may stop the tasks of [machine] to drain it. Machines with a spot notice are excluded, since
+     * the partition drains them before the notice expires.
+     */
+    private fun needsDrain(machine: Machine): Boolean =
         machine.quarantined && !machine.hasSpotNotice && !machine.leaseExpired && machine.attempts.isNotEmpty()
 
     private fun sample(machines: List<Machine>): List<Machine> {
@@ -104,7 +107,7 @@
             fetchGbPerS = machine.type.fetchGbPerS,
             hasImage = { it in machine.images },
             tasks = machine.attempts.values.map { task(it, history, now) },
-            draining = isEmptied(machine),
+            draining = needsDrain(machine),
             slowness = maxOf(1.0, machine.slowness.ratio),
         )
     }
--- a/src/main/kotlin/io/otterknot/rebalance/StopLimits.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/StopLimits.kt
@@ -4,9 +4,10 @@
 import kotlin.math.ceil
 
 /**
- * Limits on concurrent stops and on lost work while one plan is made. The limits are shares of the running tasks, so
- * they hold at any size. As long as a limit is not reached, all tasks in the way of one other may be stopped together:
- * small partitions could never free capacity otherwise.
+ * Limits concurrent stops and lost work during planning. The limits on stops are shares of the running tasks, so they
+ * apply at any partition size. While the number of stops is below its limits, all tasks that must be stopped for one
+ * waiting task may be stopped together, even if that exceeds them; small partitions could never free capacity
+ * otherwise.
  */
 internal class StopLimits(private val settings: LoadSpreadSettings, private val snapshot: PlannerSnapshot) {
     private var stops = snapshot.open.stops
@@ -15,13 +16,13 @@
     private val stoppingCores = HashMap(snapshot.open.stoppingCoresByTeam)
     private var lostWorkBudgetCoreS = snapshot.lostWorkBudgetCoreS
 
-    /** Why [tasks] may not be stopped together; null if they may. */
+    /** Returns why [tasks] may not be stopped together, or null if they may. */
     fun refusalReason(tasks: List<RunningTask>): RefusalReason? {
-        val isFull = stops >= maxStops(snapshot.running.total, settings.partitionStopShare) ||
+        val isStopLimitReached = stops >= maxStops(snapshot.running.total, settings.partitionStopShare) ||
             tasks.any { (byTeam[it.team] ?: 0) >= maxStopsOfTeam(it.team) } ||
             tasks.any { (byJob[it.spec.id] ?: 0) >= maxStopsOfJob(it.spec.id) }
         return when {
-            isFull -> RefusalReason.TOO_MANY_MOVES
+            isStopLimitReached -> RefusalReason.TOO_MANY_MOVES
             tasks.sumOf { it.lostCoreS } > lostWorkBudgetCoreS -> RefusalReason.LOST_WORK_BUDGET_EXHAUSTED
             else -> null
         }
@@ -33,11 +34,11 @@
 
     private fun maxStops(running: Int, share: Double): Int = maxOf(1, ceil(running * share).toInt())
 
-    /** Cores that [team] uses here above its guarantee, less those of its tasks that are being stopped already. */
+    /** Returns the cores that [team] uses here above its guarantee, minus those of its tasks that are being stopped. */
     fun remainingExcessCores(team: String): Double =
         snapshot.cluster.excessCores(team, snapshot.zone) - (stoppingCores[team] ?: 0.0)
 
-    /** Counts [tasks], which the plan stops, towards all limits. */
+    /** Counts planned stops of [tasks] towards all limits. */
     fun recordStops(tasks: List<RunningTask>) {
         for (task in tasks) {
             stops++
--- a/src/main/kotlin/io/otterknot/rebalance/TeamDemand.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/TeamDemand.kt
@@ -1,7 +1,7 @@
 package io.otterknot.rebalance
 
 /**
- * What one team asks of a cluster, as shares of it: [demand] is the dominant share of all that it runs and waits for,
- * [guaranteed] what it is promised, [weight] how it counts against others beyond that.
+ * The demand of one team, in shares of the cluster: [demand] is the dominant share of its running and waiting work,
+ * [guaranteed] that of its guaranteed quota; [weight] is its weight in the division of the remaining capacity.
  */
 data class TeamDemand(val team: String, val demand: Double, val guaranteed: Double, val weight: Double)
--- a/src/main/kotlin/io/otterknot/rebalance/TeamEntitlement.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/TeamEntitlement.kt
@@ -1,4 +1,4 @@
 package io.otterknot.rebalance
 
-/** What the settings promise a team. */
+/** Guaranteed quota and fair-share weight of a team, from the settings. */
 data class TeamEntitlement(val guaranteedCores: Double, val guaranteedCards: Double, val weight: Double)
--- a/src/main/kotlin/io/otterknot/rebalance/TeamPressure.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/TeamPressure.kt
@@ -2,10 +2,10 @@
 
 import io.otterknot.scheduling.Resources
 
-/** What one team uses of a partition, and what waits of it there. */
+/** The usage and waiting work of one team in a partition. */
 data class TeamPressure(
     val used: Resources = Resources.NONE,
     val waitingCores: Double = 0.0,
-    /** Since when its oldest waiting task could run, by the time of day; null: nothing waits. */
+    /** Wall-clock time since which its oldest waiting task has been ready, or null if none waits. */
     val oldestReadyMs: Long? = null,
 )
--- a/src/main/kotlin/io/otterknot/rebalance/UnfinishedJob.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/UnfinishedJob.kt
@@ -4,7 +4,7 @@
 import io.otterknot.records.QuotaAmount
 import io.otterknot.wire.Priority
 
-/** What one team's unfinished job takes of its guarantee. */
+/** An unfinished job and the [amount] that it uses of its team's guarantee. */
 data class UnfinishedJob(
     val id: String,
     val team: String,
@@ -13,7 +13,10 @@
     val amount: QuotaAmount,
 ) {
     companion object {
-        /** Null: the job is over, waits for others, or is not known well enough; it takes nothing. */
+        /**
+         * Returns null if the job is in a terminal state, waits for other jobs or has no known spec: it uses nothing of
+         * the guarantee.
+         */
         fun of(job: Job): UnfinishedJob? {
             val spec = job.spec ?: return null
             if (job.terminalState != null || !job.isReady) return null
--- a/src/main/kotlin/io/otterknot/rebalance/WaitCause.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCause.kt
@@ -6,43 +6,43 @@
 /** Why a task waits. */
 @Serializable
 enum class WaitCause {
-    /** An earlier leader may have started it. */
+    /** The task is unreconciled: an earlier leader may have started it. */
     @SerialName("doubt")
     IN_DOUBT,
 
-    /** It is being reassigned to another partition, until that change is durable. */
+    /** The task is being reassigned to another partition, and the change is not durable yet. */
     @SerialName("handover")
     REASSIGNMENT,
 
-    /** The team's quota share in this partition, or the job's own spread over zones, is used up. */
+    /** The team's quota share in this partition, or the job's limit per zone, is exhausted. */
     @SerialName("limit")
     QUOTA_LIMIT,
 
-    /** The job failed a few times and is tried again later. */
+    /** The job failed several times and is retried after a backoff. */
     @SerialName("retry")
     RETRY_BACKOFF,
 
-    /** Some machine has free capacity, but it is reserved for other work or the machine is not usable yet. */
+    /** A machine has free capacity, but it is reserved for other work or the machine is not usable yet. */
     @SerialName("held room")
     CAPACITY_RESERVED,
 
-    /** There is no free capacity here, but another partition has some. */
+    /** This partition has no free capacity, but another one has. */
     @SerialName("room elsewhere")
     CAPACITY_ELSEWHERE,
 
-    /** There is no free capacity, and other teams use more than their fair share. */
+    /** The job can use no free capacity, and another team uses more than its fair share. */
     @SerialName("other teams above their share")
     TEAMS_ABOVE_FAIR_SHARE,
 
-    /** There is no free capacity, and no team exceeds its fair share: only more machines would help. */
+    /** The job can use no free capacity, and no other team exceeds its fair share: more machines are needed. */
     @SerialName("no room")
     NO_CAPACITY,
 
-    /** It is assigned to a machine, and waits for its heartbeat or for the response to arrive. */
+    /** The task is assigned to a machine; the machine's next heartbeat, or the response to it, is outstanding. */
     @SerialName("report")
     AWAITING_HEARTBEAT,
 
-    /** It is assigned to a machine, and its image is being fetched. */
+    /** The task is assigned to a machine, and its image is being fetched. */
     @SerialName("image")
     IMAGE_FETCH,
 }
--- a/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitCauses.kt
@@ -7,7 +7,7 @@
 
 /** Counts the waiting tasks of a partition by team and cause. */
 class WaitCauses(private val examinedJobs: Int) {
-    /** How many tasks of each team wait because of each cause. */
+    /** Returns the number of waiting tasks by team and cause; examines pending tasks of at most [examinedJobs] jobs. */
     fun count(partition: Partition, cluster: ClusterPressure, now: Long): Map<String, Map<WaitCause, Int>> {
         val counts = HashMap<String, HashMap<WaitCause, Int>>()
         fun add(team: String, cause: WaitCause, tasks: Int) {
@@ -41,8 +41,8 @@
     ): List<Pair<WaitCause, Int>> {
         if (job.retryAtMs > now) return listOf(WaitCause.RETRY_BACKOFF to job.pendingCount)
         val startable = minOf(job.pendingCount, maxOf(0, partition.startableTasks(job)))
-        val limited = WaitCause.QUOTA_LIMIT to job.pendingCount - startable
-        return listOf(limited, causeWithoutCapacity(partition, job, machinesWithFreeCores, cluster) to startable)
+        val quotaLimited = WaitCause.QUOTA_LIMIT to job.pendingCount - startable
+        return listOf(quotaLimited, causeWithoutCapacity(partition, job, machinesWithFreeCores, cluster) to startable)
     }
 
     private fun causeWithoutCapacity(
@@ -58,10 +58,10 @@
             it.zone != partition.zone && it.meanFor(spec) < MAX_MEAN_WITH_CAPACITY
         }
         if (hasCapacityElsewhere && spec.zone == null) return WaitCause.CAPACITY_ELSEWHERE
-        val isCrowdedOut = cluster.fairShares.any { (team, due) ->
-            team != spec.team && cluster.dominantShare(team) > due + FAIR_SHARE_TOLERANCE
+        val isAnyOtherTeamAboveFairShare = cluster.fairShares.any { (team, fairShare) ->
+            team != spec.team && cluster.dominantShare(team) > fairShare + FAIR_SHARE_TOLERANCE
         }
-        return if (isCrowdedOut) WaitCause.TEAMS_ABOVE_FAIR_SHARE else WaitCause.NO_CAPACITY
+        return if (isAnyOtherTeamAboveFairShare) WaitCause.TEAMS_ABOVE_FAIR_SHARE else WaitCause.NO_CAPACITY
     }
 
     private companion object {
--- a/src/main/kotlin/io/otterknot/rebalance/WaitingJob.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/WaitingJob.kt
@@ -2,17 +2,17 @@
 
 import io.otterknot.wire.JobSpec
 
-/** Some waiting tasks of a job, as the planner sees them. */
+/** The state of a job with waiting tasks, on which a plan is based. */
 data class WaitingJob(
     val spec: JobSpec,
     val waiting: Int,
-    /** How many of them the team's limit and the job's own spread allow now. */
+    /** Number of waiting tasks that the team's quota and the job's limit per zone allow to start now. */
     val startable: Int,
     val covered: Boolean,
     val waitedS: Double,
-    /** None of it is on a machine or may be, so that it can be moved as a whole. */
+    /** Whether no task of the job is, or may be, on a machine, so that the entire job can be moved. */
     val isEntirelyPending: Boolean,
-    /** How long ago some of its tasks were last handed over to this partition; null: never. */
+    /** Seconds since tasks of the job were last reassigned to this partition, or null if never. */
     val secondsSinceArrival: Double? = null,
 ) {
     val team: String get() = spec.team
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
@@ -82,7 +82,7 @@
         val move = Move.Stop(
             "a", "red", "j-000001", MoveReason.GUARANTEE, 5.0, attempt.task, attempt.id, "m1", 4.0, 4.0, "j-000002",
         )
-        return OpenMove(move, partition, attempt, 2_000).also { it.begin(2_000) }
+        return OpenMove(move, partition, attempt, 2_000).also { it.requestStop(2_000) }
     }
 
     @Test
