--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadMoveTest.kt
@@ -30,11 +30,11 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
-/** Moves of running tasks, step by step on one owner's ledger. */
+/** Tests moves of running tasks step by step on the partition of one leader. */
 class LoadSpreadMoveTest {
     private val type = MachineType("big", 8.0, 0.0, 64.0, fetchGbPerS = 1.0)
     private val teams = listOf(TeamSettings("red", cpus = 8.0), TeamSettings("blue", cpus = 8.0))
-    private val seqs = HashMap<String, Long>()
+    private val sequenceNumbers = HashMap<String, Long>()
     private val partition = newPartition()
 
     private fun newPartition() = testPartition(teams.map { unlimitedTeam(it.name, weight = it.cpus) }) { type }
@@ -48,36 +48,36 @@
             it.applyRecord(JobRecord(spec, listOf(TaskSpan("a", 0, tasks))))
         }
 
-    private fun Partition.hear(
+    private fun Partition.heartbeat(
         machine: String,
         now: Long,
         vararg tasks: TaskStatus,
         noticeS: Double? = null,
     ): List<HeartbeatCommand> {
-        val seq = seqs.merge(machine, 1, Long::plus)!!
-        val report = Heartbeat(machine, "", "big", "a", false, 1, seq, fencingToken, noticeS, tasks.toList())
-        return (applyHeartbeat(report, now) as HeartbeatDecision.Answer).commands
+        val seq = sequenceNumbers.merge(machine, 1, Long::plus)!!
+        val heartbeat = Heartbeat(machine, "", "big", "a", false, 1, seq, fencingToken, noticeS, tasks.toList())
+        return (applyHeartbeat(heartbeat, now) as HeartbeatDecision.Answer).commands
     }
 
-    private fun HeartbeatCommand.shown(state: TaskState = TaskState.RUNNING, cause: ExitCause? = null) =
+    private fun HeartbeatCommand.status(state: TaskState = TaskState.RUNNING, cause: ExitCause? = null) =
         TaskStatus(task, attempt, state, cause)
 
-    /** Two machines full of red tasks that run. */
-    private fun fill(checkpointS: Double = 0.0): Map<String, List<HeartbeatCommand>> {
+    /** Fills two machines with running tasks of team red; returns their start commands by machine. */
+    private fun fillMachines(checkpointS: Double = 0.0): Map<String, List<HeartbeatCommand>> {
         partition.sweep(1)
         partition.updateJob(job(1, 4, "red", checkpointS = checkpointS), inherited = false)
         val machines = listOf("m1", "m2")
-        machines.forEach { partition.hear(it, 2) }
+        machines.forEach { partition.heartbeat(it, 2) }
         partition.fleet.updateRegistered(machines.toSet())
         return machines.associateWith { machine ->
-            val starts = partition.hear(machine, 10).filter { it.op == CommandOperation.START }
-            partition.hear(machine, 1_000, *starts.map { it.shown() }.toTypedArray())
+            val starts = partition.heartbeat(machine, 10).filter { it.op == CommandOperation.START }
+            partition.heartbeat(machine, 1_000, *starts.map { it.status() }.toTypedArray())
             starts
         }
     }
 
-    /** The move of the first red task on m1. */
-    private fun move(start: HeartbeatCommand): OpenMove {
+    /** Starts the move of the task of [start], which runs on m1. */
+    private fun startMove(start: HeartbeatCommand): OpenMove {
         val attempt = partition.machine("m1")!!.attempts.get(start.attempt)
         val move = Move.Stop(
             "a", "red", "j-000001", MoveReason.GUARANTEE, 5.0, attempt.task, attempt.id, "m1", 4.0, 4.0, "j-000002",
@@ -86,75 +86,83 @@
     }
 
     @Test
-    fun `a task is stopped, and work within the guarantee gets its room before more urgent work`() {
-        val (first, second) = fill().getValue("m1")
+    fun `a task is stopped and work within the guarantee is placed before more urgent work`() {
+        val (first, second) = fillMachines().getValue("m1")
         partition.updateJob(job(2, 1, "blue", Priority.BEST_EFFORT), inherited = false)
         partition.updateJob(job(3, 2, "red", Priority.PRODUCTION), inherited = false)
         partition.markCovered(1, beforeAll = true) { it.id == "j-000002" }
-        val move = move(first)
+        val move = startMove(first)
         assertEquals(MoveState.STOPPING, move.state)
-        val halts = partition.hear("m1", 3_000, first.shown(), second.shown())
-        assertTrue(HeartbeatCommand.halt(first.task, first.attempt, 0.0) in halts)
-        val next = partition.hear("m1", 4_000, first.shown(TaskState.EXITED, ExitCause.STOPPED), second.shown())
+        val commands = partition.heartbeat("m1", 3_000, first.status(), second.status())
+        assertTrue(HeartbeatCommand.halt(first.task, first.attempt, 0.0) in commands)
+        val next = partition.heartbeat("m1", 4_000, first.status(TaskState.EXITED, ExitCause.STOPPED), second.status())
         assertEquals("j-000002/0", next.single { it.op == CommandOperation.START }.task)
         assertTrue(move.advance(4_000, isLeader = true))
         assertEquals(MoveState.STOPPED, move.state)
     }
 
-    /** Whether work within a guarantee goes before more urgent work of others, as the operators choose. */
+    /** Operators choose whether work within a guarantee is placed before more urgent work of other teams. */
     @ParameterizedTest
     @CsvSource("true, j-000002/0", "false, j-000003/0")
-    fun `more urgent work of others comes before or after work within a guarantee`(beforeAll: Boolean, first: String) {
-        val (ends, stays) = fill().getValue("m1")
+    fun `the setting decides whether work within a guarantee precedes more urgent work`(
+        beforeAll: Boolean,
+        expectedTask: String,
+    ) {
+        val (completing, remaining) = fillMachines().getValue("m1")
         partition.updateJob(job(2, 1, "blue", Priority.NORMAL), inherited = false)
         partition.updateJob(job(3, 1, "red", Priority.HIGH), inherited = false)
         partition.markCovered(1, beforeAll) { it.id == "j-000002" }
-        val commands = partition.hear("m1", 4_000, ends.shown(TaskState.EXITED, ExitCause.DONE), stays.shown())
-        assertEquals(first, commands.single { it.op == CommandOperation.START }.task)
+        val commands = partition.heartbeat(
+            "m1",
+            4_000,
+            completing.status(TaskState.EXITED, ExitCause.DONE),
+            remaining.status(),
+        )
+        assertEquals(expectedTask, commands.single { it.op == CommandOperation.START }.task)
     }
 
     @ParameterizedTest
     @CsvSource(
-        // What the next heartbeat shows (nothing: the task is gone), and what becomes of the move.
+        // State and exit cause in the next heartbeat (empty: task not listed), expected state and outcome of the move.
         "EXITED, DONE, ABANDONED, COMPLETED_FIRST",
         "EXITED, STOPPED, PLACED,",
         "RUNNING, , STOPPING,",
         "EXITED, ERROR, STOPPED,",
         ", , PLACED,",
     )
-    fun `whatever the machine says of the task decides`(
+    fun `the task status in the heartbeat determines the state of the move`(
         state: TaskState?,
         cause: ExitCause?,
-        ends: MoveState,
-        outcome: MoveOutcome?,
+        expectedState: MoveState,
+        expectedOutcome: MoveOutcome?,
     ) {
-        val (first, second) = fill().getValue("m1")
-        val move = move(first)
-        partition.hear("m1", 3_000, first.shown(), second.shown())
-        val shown = if (state == null) emptyArray() else arrayOf(first.shown(state, cause))
-        partition.hear("m1", 4_000, *shown, second.shown())
+        val (first, second) = fillMachines().getValue("m1")
+        val move = startMove(first)
+        partition.heartbeat("m1", 3_000, first.status(), second.status())
+        val statuses = if (state == null) emptyArray() else arrayOf(first.status(state, cause))
+        partition.heartbeat("m1", 4_000, *statuses, second.status())
         move.advance(4_000, isLeader = true)
-        assertEquals(ends, move.state)
-        assertEquals(outcome, move.outcome)
+        assertEquals(expectedState, move.state)
+        assertEquals(expectedOutcome, move.outcome)
     }
 
     @Test
-    fun `a completion that meets the stop wins, also if the machine shows it late`() {
-        val (first, second) = fill().getValue("m1")
-        val move = move(first)
-        partition.hear("m1", 3_000, first.shown(), second.shown())
+    fun `a task that completes while its stop is in progress is not restarted, even if reported late`() {
+        val (first, second) = fillMachines().getValue("m1")
+        val move = startMove(first)
+        partition.heartbeat("m1", 3_000, first.status(), second.status())
         val started = (4L..8L).flatMap {
-            partition.hear("m1", it * 1_000, first.shown(TaskState.EXITED, ExitCause.DONE), second.shown())
+            partition.heartbeat("m1", it * 1_000, first.status(TaskState.EXITED, ExitCause.DONE), second.status())
         }
-        assertTrue(started.none { it.op == CommandOperation.START && it.task == first.task }, "it is not started again")
+        assertTrue(started.none { it.op == CommandOperation.START && it.task == first.task }, "the task was restarted")
         move.advance(9_000, isLeader = true)
         assertEquals(MoveOutcome.COMPLETED_FIRST, move.outcome)
     }
 
     @Test
-    fun `a cancellation wins over the stop`() {
-        val (first, second) = fill().getValue("m1")
-        val move = move(first)
+    fun `a cancellation abandons the move and halts the tasks of the job`() {
+        val (first, second) = fillMachines().getValue("m1")
+        val move = startMove(first)
         partition.updateJob(
             job(1, 4, "red").also {
                 it.applyRecord(JobRecord(terminalState = TerminalState.CANCELLED))
@@ -163,26 +171,26 @@
         )
         move.advance(2_500, isLeader = true)
         assertEquals(MoveOutcome.JOB_FINISHED, move.outcome)
-        val commands = partition.hear("m1", 3_000, first.shown(), second.shown())
+        val commands = partition.heartbeat("m1", 3_000, first.status(), second.status())
         assertEquals(2, commands.count { it.op == CommandOperation.HALT })
     }
 
     @Test
-    fun `a stop that is not answered ends with the lease, and the task is placed elsewhere only then`() {
-        val starts = fill()
+    fun `a stop without response ends when the lease expires, and only then is the task placed again`() {
+        val starts = fillMachines()
         val (first, _) = starts.getValue("m1")
         val other = starts.getValue("m2")
-        val move = move(first)
-        // m1 hangs; m2 completes its tasks and reports on.
+        val move = startMove(first)
+        // m1 is unresponsive; m2 completes its tasks and continues to send heartbeats.
         var restarted = 0L
         for (now in 3_000L..16_000L step 1_000) {
             partition.sweep(now)
-            val shown = other.map { it.shown(TaskState.EXITED, ExitCause.DONE) }.toTypedArray()
-            val begun = partition.hear("m2", now, *shown).filter {
+            val statuses = other.map { it.status(TaskState.EXITED, ExitCause.DONE) }.toTypedArray()
+            val startCommands = partition.heartbeat("m2", now, *statuses).filter {
                 it.op == CommandOperation.START &&
                     it.task == first.task
             }
-            if (begun.isNotEmpty() && restarted == 0L) restarted = now
+            if (startCommands.isNotEmpty() && restarted == 0L) restarted = now
             move.advance(now, isLeader = true)
             if (now < 11_000) assertEquals(MoveState.STOPPING, move.state, "at $now")
         }
@@ -192,73 +200,79 @@
     }
 
     @Test
-    fun `an owner that loses the partition follows nothing`() {
-        val move = move(fill().getValue("m1").first())
+    fun `a move is abandoned when the leader loses the partition`() {
+        val move = startMove(fillMachines().getValue("m1").first())
         move.advance(3_000, isLeader = false)
         assertEquals(MoveOutcome.LEADERSHIP_LOST, move.outcome)
     }
 
-    /** A second stop would end the saving at once, and the progress with it. */
+    /** A second stop would end the save immediately and lose the progress. */
     @Test
-    fun `a task that saves is not told to stop again, unless it saves for far too long`() {
-        val (first, second) = fill(checkpointS = 5.0).getValue("m1")
-        move(first)
-        fun halts(now: Long, state: TaskState) = partition.hear("m1", now, first.shown(state), second.shown())
-            .filter { it.op == CommandOperation.HALT }
-            .map { it.graceS }
-        assertEquals(listOf(4.0), halts(3_000, TaskState.RUNNING))
-        assertEquals(listOf(4.0), halts(4_000, TaskState.RUNNING), "the answer before was lost")
+    fun `a task that is saving gets no second stop command unless the save takes far too long`() {
+        val (first, second) = fillMachines(checkpointS = 5.0).getValue("m1")
+        startMove(first)
+        fun haltGraces(now: Long, state: TaskState) =
+            partition.heartbeat("m1", now, first.status(state), second.status())
+                .filter { it.op == CommandOperation.HALT }
+                .map { it.graceS }
+        assertEquals(listOf(4.0), haltGraces(3_000, TaskState.RUNNING))
+        assertEquals(listOf(4.0), haltGraces(4_000, TaskState.RUNNING), "the previous response was lost")
         for (now in 5_000L..17_000L step 1_000) {
             assertEquals(
                 emptyList<Double>(),
-                halts(now, TaskState.SAVING),
+                haltGraces(now, TaskState.SAVING),
                 "at $now",
             )
         }
-        assertEquals(listOf(0.0), halts(19_000, TaskState.SAVING))
+        assertEquals(listOf(0.0), haltGraces(19_000, TaskState.SAVING))
     }
 
     @Test
-    fun `a spot notice does not meet a second stop, and a late report takes nothing back`() {
-        val (first, second) = fill().getValue("m1")
-        val move = move(first)
-        partition.hear("m1", 3_000, first.shown(), second.shown(), noticeS = 5.0)
-        val after = partition.hear(
+    fun `a machine with a spot notice gets no new task after a stop, and a late heartbeat is stale`() {
+        val (first, second) = fillMachines().getValue("m1")
+        val move = startMove(first)
+        partition.heartbeat("m1", 3_000, first.status(), second.status(), noticeS = 5.0)
+        val after = partition.heartbeat(
             "m1",
             4_000,
-            first.shown(TaskState.EXITED, ExitCause.STOPPED),
-            second.shown(),
+            first.status(TaskState.EXITED, ExitCause.STOPPED),
+            second.status(),
             noticeS = 4.0,
         )
         move.advance(4_000, isLeader = true)
         assertEquals(MoveState.STOPPED, move.state)
-        assertTrue(after.none { it.op == CommandOperation.START }, "a machine under a notice takes nothing")
-        val late = Heartbeat("m1", "", "big", "a", false, 1, 2, 7, null, listOf(first.shown()))
+        assertTrue(after.none { it.op == CommandOperation.START }, "a machine with a spot notice got a task")
+        val late = Heartbeat("m1", "", "big", "a", false, 1, 2, 7, null, listOf(first.status()))
         assertEquals(HeartbeatDecision.Stale, partition.applyHeartbeat(late, 4_500))
         assertTrue(!partition.machine("m1")!!.attempts.containsKey(first.attempt))
     }
 
     @Test
-    fun `more urgent work that is not within a guarantee does not stop work that is`() {
-        fill()
+    fun `more urgent work outside a guarantee does not preempt work within a guarantee`() {
+        fillMachines()
         partition.markCovered(1, beforeAll = true) { it.id == "j-000001" }
         partition.updateJob(job(4, 1, "blue", Priority.PRODUCTION), inherited = false)
         for (now in 4_000L..9_000L step 250) partition.sweep(now)
         assertTrue(partition.machines.flatMap { it.attempts.values }.none { it.stopping })
     }
 
-    /** By counting: what a plan costs grows with what waits and is bounded in machines; a report costs the same. */
+    /**
+     * Counts examined items: the cost of a plan grows with the waiting work and is bounded in the number of machines.
+     * A heartbeat costs the same at any number of machines.
+     */
     @ParameterizedTest
     @ValueSource(ints = [500, 1_500, 4_000, 6_000])
-    fun `pressure and plans cost no more for each machine where there are more`(machines: Int) {
+    fun `the cost of pressure and plans does not grow with the number of machines`(machines: Int) {
         val partition = newPartition()
         partition.sweep(1)
         val names = List(machines) { "m-$it" }
-        names.forEach { partition.hear(it, 2) }
+        names.forEach { partition.heartbeat(it, 2) }
         partition.fleet.updateRegistered(names.toSet())
         partition.updateJob(job(1, machines * 2, "red"), inherited = false)
         partition.waitingWork.follow(partition.jobs)
-        val starts = names.associateWith { name -> partition.hear(name, 10).filter { it.op == CommandOperation.START } }
+        val starts = names.associateWith { name ->
+            partition.heartbeat(name, 10).filter { it.op == CommandOperation.START }
+        }
         partition.updateJob(job(2, 10, "blue"), inherited = false)
         partition.markCovered(1, beforeAll = true) { it.id == "j-000002" }
         val settings = LoadSpreadSettings(LoadSpreadMode.ACT, patienceS = 0.0)
@@ -266,9 +280,11 @@
         val builder = SnapshotBuilder(settings, { listOf("a") }, Random(1))
         val cluster = pressureTracker.clusterPressure()
         val recounts = partition.waitingWork.recounts
-        names.take(50).forEach { partition.hear(it, 1_000, *starts.getValue(it).map { s -> s.shown() }.toTypedArray()) }
+        names.take(50).forEach {
+            partition.heartbeat(it, 1_000, *starts.getValue(it).map { s -> s.status() }.toTypedArray())
+        }
         pressureTracker.clusterPressure()
-        assertEquals(0, partition.waitingWork.recounts - recounts, "reports that change nothing are not counted")
+        assertEquals(0, partition.waitingWork.recounts - recounts, "heartbeats without changes caused recounts")
         val snapshot =
             builder.build(
                 partition,
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
@@ -13,11 +13,11 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.MethodSource
 
-/** What load spread decides, without any controller. */
+/** Tests the load-spread planners and their cost functions without a controller. */
 class LoadSpreadPlannerTest {
     @ParameterizedTest
     @CsvSource(
-        // Demand, guarantee and weight of two teams; what each is due.
+        // Demand, guarantee and weight of each of two teams; expected fair share of each.
         "1.0, 0.0, 1.0,  1.0, 0.0, 1.0,  0.5, 0.5",
         "1.0, 0.0, 3.0,  1.0, 0.0, 1.0,  0.75, 0.25",
         "0.2, 0.0, 1.0,  1.0, 0.0, 1.0,  0.2, 0.8",
@@ -27,27 +27,27 @@
         "0.0, 0.5, 1.0,  0.0, 0.5, 1.0,  0.0, 0.0",
     )
     @Suppress("LongParameterList") // one parameter for each column of the table
-    fun `guarantees come first, and the rest goes by weight to those that ask for it`(
+    fun `guarantees are served first and the remaining capacity is divided by weight among unsatisfied teams`(
         demand: Double,
         guaranteed: Double,
         weight: Double,
         otherDemand: Double,
         otherGuaranteed: Double,
         otherWeight: Double,
-        due: Double,
-        otherDue: Double,
+        share: Double,
+        otherShare: Double,
     ) {
         val teams = listOf(
             TeamDemand("one", demand, guaranteed, weight),
             TeamDemand("other", otherDemand, otherGuaranteed, otherWeight),
         )
         val shares = FairShares.of(teams)
-        assertEquals(due, shares.getValue("one"), 1e-6)
-        assertEquals(otherDue, shares.getValue("other"), 1e-6)
+        assertEquals(share, shares.getValue("one"), 1e-6)
+        assertEquals(otherShare, shares.getValue("other"), 1e-6)
     }
 
     @Test
-    fun `a job is within the guarantee if it fits together with all earlier ones of its team`() {
+    fun `a job is within the guarantee if it fits together with all more urgent or earlier jobs of its team`() {
         val cover = QuotaCoverage(listOf(TeamSettings("red", cpus = 10.0), TeamSettings("blue")))
         fun job(
             id: String,
@@ -66,14 +66,14 @@
         assertEquals(setOf("first", "second"), cover.covered(jobs))
         assertEquals(setOf("first"), cover.covered(jobs + job("early", "red", 15, 8.0)))
         val urgent = job("urgent", "red", 40, 5.0, priority = Priority.HIGH)
-        assertEquals(setOf("urgent"), cover.covered(jobs + urgent), "the team's own most urgent work comes first")
+        assertEquals(setOf("urgent"), cover.covered(jobs + urgent), "the most urgent job uses the guarantee first")
         assertEquals(emptySet<String>(), cover.covered(listOf(job("card", "red", 1, 1.0, cards = 1.0))))
     }
 
     @ParameterizedTest
     @CsvSource(
-        // Wait here and there; whether the image is at hand there; its size; fetches that share; elapsed, checkpoints,
-        // save; what is gained.
+        // Wait here and there; whether the image is present there; its size; concurrent fetches; elapsed time (-1: the
+        // task does not run), checkpoint interval and save time; expected gain.
         "20, 5, true,  6, 1, -1, 0, 0,    13.0",
         "20, 5, false, 6, 1, -1, 0, 0,    7.0",
         "20, 5, false, 6, 3, -1, 0, 0,    -5.0",
@@ -82,7 +82,7 @@
         "5, 5, true,   0, 1, -1, 0, 0,    -2.0",
     )
     @Suppress("LongParameterList") // one parameter for each column of the table
-    fun `images, queues and lost work are weighed in seconds`(
+    fun `the gain of a move combines wait, image fetch and lost work in weighted seconds`(
         hereS: Double,
         thereS: Double,
         isPresent: Boolean,
@@ -105,7 +105,7 @@
         assertEquals(gainS, LocalityCost.gain(here, there, CostWeights(fetch = 1.0, lostWork = 1.5)), 1e-6)
     }
 
-    /** One plan of a crowded partition a, beside b: the expected moves, and why the first job is refused, if so. */
+    /** A plan for the overloaded partition a, with b as target: expected moves and first refusal reason, if any. */
     class PlanCase(
         val name: String,
         val snapshot: PlannerSnapshot,
@@ -117,15 +117,19 @@
 
     @ParameterizedTest
     @MethodSource("plans")
-    fun `a plan moves what gains enough, and says why it leaves the rest`(case: PlanCase) {
+    fun `a plan moves work with sufficient gain and reports why other work is refused`(case: PlanCase) {
         val plan = planner.plan(case.snapshot)
-        assertEquals(case.moves, plan.moves.map(::described))
+        assertEquals(case.moves, plan.moves.map(::describe))
         if (case.refused != null) assertEquals(case.refused, plan.refusals.first().reason)
     }
 
     @ParameterizedTest
     @CsvSource("0.05, 1000, 5", "0.5, 1000, 10", "0.5, 24, 1", "0.5, 0, 0")
-    fun `stops are bounded by shares of what runs and by the lost work`(share: Double, budget: Double, stops: Int) {
+    fun `stops are limited by shares of running tasks and the lost-work budget`(
+        share: Double,
+        budget: Double,
+        stops: Int,
+    ) {
         val settings =
             LoadSpreadSettings(anyPriority = true, partitionStopShare = share, teamStopShare = 0.1, jobStopShare = 1.0)
         val machines = (1..25).map { machine(it, redTasks(it)) }
@@ -134,7 +138,7 @@
         assertEquals(stops, plan.moves.filterIsInstance<Move.Stop>().size)
     }
 
-    private fun described(move: Move) = when (move) {
+    private fun describe(move: Move) = when (move) {
         is Move.Reassignment -> "${move.job} ${Math.round(move.cores)} to ${move.target}: ${move.reason}"
         is Move.Stop -> "${move.job}/${move.task} on ${move.machine}: ${move.reason}"
     }
@@ -143,10 +147,10 @@
         private val settings =
             LoadSpreadSettings(anyPriority = true, jobStopShare = 1.0, teamStopShare = 1.0, partitionStopShare = 1.0)
         private val planner = MovePlanner(settings)
-        private val small = smallJob("j-000001").copy(cores = 4.0, image = "i", imageGb = 2.0, spot = true)
+        private val smallSpec = smallJob("j-000001").copy(cores = 4.0, image = "i", imageGb = 2.0, spot = true)
 
-        private fun waits(
-            spec: JobSpec = small,
+        private fun waitingJob(
+            spec: JobSpec = smallSpec,
             secondsSinceArrival: Double? = null,
             waitedS: Double = 5.0,
             tasks: Int = 80,
@@ -161,7 +165,7 @@
         )
 
         fun covered(tasks: Int, waitedS: Double = 5.0, priority: Priority = Priority.NORMAL) = WaitingJob(
-            small.copy(id = "j-000009", team = "blue", priority = priority),
+            smallSpec.copy(id = "j-000009", team = "blue", priority = priority),
             tasks,
             tasks,
             true,
@@ -169,8 +173,8 @@
             true,
         )
 
-        fun red(id: Int, elapsedS: Double = 4.0, remainingS: Double = 10.0, covered: Boolean = false) = RunningTask(
-            small.copy(id = "j-000002", priority = Priority.HIGH),
+        fun redTask(id: Int, elapsedS: Double = 4.0, remainingS: Double = 10.0, covered: Boolean = false) = RunningTask(
+            smallSpec.copy(id = "j-000002", priority = Priority.HIGH),
             id,
             id.toLong(),
             covered,
@@ -180,7 +184,7 @@
             isCoolingDown = false,
         )
 
-        fun redTasks(machine: Int) = List(4) { red(machine * 4 + it) }
+        fun redTasks(machine: Int) = List(4) { redTask(machine * 4 + it) }
 
         fun machine(id: Int, tasks: List<RunningTask>, draining: Boolean = false, slowness: Double = 1.0) =
             MachineSnapshot(
@@ -213,18 +217,18 @@
             lostWorkBudgetCoreS: Double = 1_000.0,
             running: Int = 100,
             targets: List<String> = listOf("a", "b"),
-            redUses: Double = 400.0,
+            redCores: Double = 400.0,
             runS: Double = 15.0,
             isPublished: Boolean = true,
         ): PlannerSnapshot {
             val partitions = mapOf(
-                "a" to pressure("a", here, setOf("i"), runS, redUses),
+                "a" to pressure("a", here, setOf("i"), runS, redCores),
                 "b" to pressure("b", there, images, runS, red = 0.0, isPublished),
             )
-            val terms = mapOf("red" to TeamEntitlement(100.0, 0.0, 100.0), "blue" to TeamEntitlement(100.0, 0.0, 100.0))
+            val teams = mapOf("red" to TeamEntitlement(100.0, 0.0, 100.0), "blue" to TeamEntitlement(100.0, 0.0, 100.0))
             return PlannerSnapshot(
                 zone = "a",
-                cluster = ClusterPressure(partitions, terms),
+                cluster = ClusterPressure(partitions, teams),
                 waiting = waiting,
                 machines = machines,
                 sampledShare = 1.0,
@@ -240,80 +244,80 @@
 
         private val REASSIGNMENT_PLANS = listOf(
             PlanCase(
-                "a queue here and room there",
-                snapshot(listOf(waits())),
+                "queue here, capacity in the target partition",
+                snapshot(listOf(waitingJob())),
                 listOf("j-000001 233 to b: SHORTER_WAIT"),
                 null,
             ),
             PlanCase(
-                "the image is not there",
-                snapshot(listOf(waits()), images = emptySet()),
+                "image missing in the target partition",
+                snapshot(listOf(waitingJob()), images = emptySet()),
                 listOf("j-000001 207 to b: SHORTER_WAIT"),
                 null,
             ),
             PlanCase(
-                "means that differ little",
-                snapshot(listOf(waits()), here = 0.9, there = 0.7),
+                "small difference of mean loads",
+                snapshot(listOf(waitingJob()), here = 0.9, there = 0.7),
                 emptyList(),
                 RefusalReason.GAIN_TOO_SMALL,
             ),
             PlanCase(
-                "the same after a long wait",
-                snapshot(listOf(waits(waitedS = 50.0)), here = 0.9, there = 0.7),
+                "small difference of mean loads, long wait",
+                snapshot(listOf(waitingJob(waitedS = 50.0)), here = 0.9, there = 0.7),
                 listOf("j-000001 13 to b: OVERDUE"),
                 null,
             ),
             PlanCase(
-                "bound to its zone",
-                snapshot(listOf(waits(small.copy(zone = "a")))),
+                "job bound to its zone",
+                snapshot(listOf(waitingJob(smallSpec.copy(zone = "a")))),
                 emptyList(),
                 RefusalReason.BOUND_TO_ZONE,
             ),
             PlanCase(
-                "in one zone, partly placed",
-                snapshot(listOf(waits(small.copy(sameZone = true)).copy(isEntirelyPending = false))),
+                "sameZone job, partly placed",
+                snapshot(listOf(waitingJob(smallSpec.copy(sameZone = true)).copy(isEntirelyPending = false))),
                 emptyList(),
                 RefusalReason.PARTLY_PLACED,
             ),
             PlanCase(
-                "in one zone, as a whole",
-                snapshot(listOf(waits(small.copy(sameZone = true)))),
+                "sameZone job, moved entirely",
+                snapshot(listOf(waitingJob(smallSpec.copy(sameZone = true)))),
                 listOf("j-000001 320 to b: SHORTER_WAIT"),
                 null,
             ),
             PlanCase(
-                "in one zone, far too much",
-                snapshot(listOf(waits(small.copy(sameZone = true), tasks = 300))),
+                "sameZone job, too large",
+                snapshot(listOf(waitingJob(smallSpec.copy(sameZone = true), tasks = 300))),
                 emptyList(),
                 RefusalReason.GAIN_TOO_SMALL,
             ),
             PlanCase(
-                "just arrived",
-                snapshot(listOf(waits(secondsSinceArrival = 10.0))),
+                "job reassigned here within the return interval",
+                snapshot(listOf(waitingJob(secondsSinceArrival = 10.0))),
                 emptyList(),
                 RefusalReason.JUST_ARRIVED,
             ),
             PlanCase(
-                "arrived a while ago",
-                snapshot(listOf(waits(secondsSinceArrival = 40.0, tasks = 2))),
+                "job reassigned here longer ago than the return interval",
+                snapshot(listOf(waitingJob(secondsSinceArrival = 40.0, tasks = 2))),
                 listOf("j-000001 8 to b: SHORTER_WAIT"),
                 null,
             ),
             PlanCase(
-                "no owner elsewhere",
-                snapshot(listOf(waits()), targets = listOf("a")),
+                "no other partition with a leader",
+                snapshot(listOf(waitingJob()), targets = listOf("a")),
                 emptyList(),
                 RefusalReason.NO_TARGET,
             ),
             PlanCase(
-                "a handover is under way",
-                snapshot(listOf(waits()), open = OpenMoves(reassignmentInProgress = true)),
+                "reassignment in progress",
+                snapshot(listOf(waitingJob()), open = OpenMoves(reassignmentInProgress = true)),
                 emptyList(),
                 null,
             ),
             PlanCase(
-                "an owner that publishes no pressure",
-                snapshot(listOf(waits()), isPublished = false),
+                "target leader publishes no pressure by team",
+                snapshot(listOf(waitingJob()), isPublished = false),
                 listOf("j-000001 233 to b: SHORTER_WAIT"),
                 null,
             ),
@@ -321,13 +325,13 @@
 
         private val GUARANTEE_PLANS = listOf(
             PlanCase(
-                "a guarantee, least work lost",
+                "guarantee, stops the task that loses the least work",
                 snapshot(listOf(covered(1)), CROWDED_MACHINES, there = 1.8),
                 listOf("j-000002/8 on m-2: GUARANTEE"),
                 null,
             ),
             PlanCase(
-                "a guarantee, a stop is under way",
+                "guarantee, stop in progress",
                 snapshot(
                     listOf(covered(1)),
                     CROWDED_MACHINES,
@@ -338,52 +342,52 @@
                 null,
             ),
             PlanCase(
-                "a guarantee, no patience yet",
+                "guarantee, wait too short",
                 snapshot(listOf(covered(1, waitedS = 1.0)), CROWDED_MACHINES, there = 1.8),
                 emptyList(),
                 RefusalReason.WAIT_TOO_SHORT,
             ),
             PlanCase(
-                "a guarantee, room comes soon",
+                "guarantee, completions free capacity soon",
                 snapshot(
                     listOf(covered(1)),
-                    CROWDED_MACHINES + machine(3, listOf(red(20, remainingS = 2.0))),
+                    CROWDED_MACHINES + machine(3, listOf(redTask(20, remainingS = 2.0))),
                     there = 1.8,
                 ),
                 emptyList(),
                 RefusalReason.CAPACITY_EXPECTED_SOON,
             ),
             PlanCase(
-                "a guarantee, nobody is above theirs",
-                snapshot(listOf(covered(1)), CROWDED_MACHINES, there = 1.8, redUses = 100.0),
+                "guarantee, no team above its guarantee",
+                snapshot(listOf(covered(1)), CROWDED_MACHINES, there = 1.8, redCores = 100.0),
                 emptyList(),
                 RefusalReason.NO_STOPPABLE_TASKS,
             ),
             PlanCase(
-                "a guarantee, all is within others'",
+                "guarantee, all running tasks within a guarantee",
                 snapshot(
                     listOf(covered(1)),
-                    listOf(machine(1, listOf(red(1, covered = true)))),
+                    listOf(machine(1, listOf(redTask(1, covered = true)))),
                     there = 1.8,
                 ),
                 emptyList(),
                 RefusalReason.NO_STOPPABLE_TASKS,
             ),
             PlanCase(
-                "a guarantee, all ends soon",
+                "guarantee, all running tasks complete soon",
                 snapshot(
                     listOf(covered(1)),
-                    listOf(machine(1, listOf(red(1, remainingS = 3.5)))),
+                    listOf(machine(1, listOf(redTask(1, remainingS = 3.5)))),
                     there = 1.8,
                 ),
                 emptyList(),
                 RefusalReason.NO_STOPPABLE_TASKS,
             ),
             PlanCase(
-                "a guarantee, stopped a while ago",
+                "guarantee, all running tasks in cooldown",
                 snapshot(
                     listOf(covered(1)),
-                    listOf(machine(1, listOf(red(1).copy(isCoolingDown = true)))),
+                    listOf(machine(1, listOf(redTask(1).copy(isCoolingDown = true)))),
                     there = 1.8,
                 ),
                 emptyList(),
@@ -393,14 +397,14 @@
 
         private val DRAIN_PLANS = listOf(
             PlanCase(
-                "a slow machine is emptied",
-                snapshot(emptyList(), listOf(machine(1, listOf(red(1, remainingS = 20.0)), true, 3.0))),
+                "slow draining machine, task stopped",
+                snapshot(emptyList(), listOf(machine(1, listOf(redTask(1, remainingS = 20.0)), true, 3.0))),
                 listOf("j-000002/1 on m-1: DRAIN"),
                 null,
             ),
             PlanCase(
-                "a slow machine, little to gain",
-                snapshot(emptyList(), listOf(machine(1, listOf(red(1, elapsedS = 18.0)), true, 2.0))),
+                "slow draining machine, gain too small",
+                snapshot(emptyList(), listOf(machine(1, listOf(redTask(1, elapsedS = 18.0)), true, 2.0))),
                 emptyList(),
                 RefusalReason.GAIN_TOO_SMALL,
             ),
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPropertyTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPropertyTest.kt
@@ -12,10 +12,10 @@
 import kotlin.math.ceil
 import kotlin.random.Random
 
-/** Whatever the snapshot, plans move only what may be moved. Jqwik draws the snapshots and keeps seeds that fail. */
+/** Plans for random snapshots move only work that may be moved. Jqwik draws the seeds and stores failing ones. */
 class LoadSpreadPropertyTest {
     @Property(tries = 600)
-    fun `plans repeat, and stop only what may be stopped and within every bound`(
+    fun `plans are deterministic and stop only stoppable tasks within all limits`(
         @ForAll seed: Long,
         @ForAll @IntRange(min = 0, max = 30) machines: Int,
         @ForAll @IntRange(min = 0, max = 12) jobs: Int,
@@ -23,10 +23,10 @@
         val settings = LoadSpreadSettings()
         val snapshot = randomSnapshot(Random(seed), machines, jobs)
         val plan = MovePlanner(settings).plan(snapshot)
-        assertEquals(plan.moves, MovePlanner(settings).plan(snapshot).moves, "the same snapshot, the same plan")
+        assertEquals(plan.moves, MovePlanner(settings).plan(snapshot).moves, "two plans of the same snapshot differ")
         val tasks = snapshot.machines.flatMap { it.tasks }.associateBy { it.attempt }
         val stops = plan.moves.filterIsInstance<Move.Stop>()
-        assertEquals(stops.size, stops.map { it.attempt }.distinct().size, "each task once")
+        assertEquals(stops.size, stops.map { it.attempt }.distinct().size, "a task is stopped more than once")
         for (stop in stops) {
             val task = tasks.getValue(stop.attempt)
             assertTrue(!task.isExemptFromStop && !task.isCoolingDown && task.remainingS >= settings.leastRemainingS)
@@ -42,26 +42,26 @@
     }
 
     private fun checkBounds(stops: List<Move.Stop>, snapshot: PlannerSnapshot, settings: LoadSpreadSettings) {
-        val most = maxOf(1, ceil(snapshot.running.total * settings.partitionStopShare).toInt())
-        // Below the bound, all the tasks may go that are in the way of one other.
-        val together = stops.groupBy { it.beneficiary to it.machine }.values.maxOfOrNull { it.size } ?: 0
-        assertTrue(stops.size < most + maxOf(1, together), "${stops.size} stops of $most")
-        assertTrue(stops.sumOf { it.lostCoreS } <= snapshot.lostWorkBudgetCoreS + 1e-6, "lost work")
+        val maxStops = maxOf(1, ceil(snapshot.running.total * settings.partitionStopShare).toInt())
+        // Below the limit, all tasks that must be stopped for one waiting task may be stopped together.
+        val largestGroup = stops.groupBy { it.beneficiary to it.machine }.values.maxOfOrNull { it.size } ?: 0
+        assertTrue(stops.size < maxStops + maxOf(1, largestGroup), "${stops.size} stops, limit $maxStops")
+        assertTrue(stops.sumOf { it.lostCoreS } <= snapshot.lostWorkBudgetCoreS + 1e-6, "lost work exceeds the budget")
         for ((team, ofTeam) in stops.filter { it.beneficiary != null }.groupBy { it.team }) {
             val excess = snapshot.cluster.excessCores(team, snapshot.zone)
-            assertTrue(ofTeam.sumOf { it.cores } <= excess + 1e-6, "no more than the excess")
+            assertTrue(ofTeam.sumOf { it.cores } <= excess + 1e-6, "stopped cores exceed the excess")
         }
     }
 
     private fun checkReassignment(move: Move.Reassignment, snapshot: PlannerSnapshot) {
         val job = snapshot.waiting.single { it.spec.id == move.job }
         assertTrue(move.target != snapshot.zone && job.spec.zone == null && !snapshot.open.reassignmentInProgress)
-        assertTrue(move.cores <= job.waitingCores + 1e-6, "no more than waits")
-        if (job.spec.sameZone) assertTrue(job.isEntirelyPending && move.cores == job.waitingCores, "as a whole")
+        assertTrue(move.cores <= job.waitingCores + 1e-6, "moved cores exceed the waiting cores")
+        if (job.spec.sameZone) assertTrue(job.isEntirelyPending && move.cores == job.waitingCores, "sameZone job split")
     }
 
     @Property(tries = 300)
-    fun `shares never pass the whole, nor what a team asks for`(@ForAll seed: Long, @ForAll @IntRange(max = 9) n: Int) {
+    fun `shares do not exceed the cluster or the team demand`(@ForAll seed: Long, @ForAll @IntRange(max = 9) n: Int) {
         val random = Random(seed)
         val teams = List(n) {
             TeamDemand("t$it", random.nextDouble() * 2, random.nextDouble(), 0.1 + random.nextDouble() * 5)
@@ -69,7 +69,7 @@
         val shares = FairShares.of(teams)
         assertTrue(shares.values.sum() <= 1.0 + 1e-6)
         teams.forEach { assertTrue(shares.getValue(it.team) <= it.demand + 1e-6) }
-        // Nothing is left over while somebody asks for more.
+        // All capacity is allocated if a team has unsatisfied demand.
         val hasUnsatisfiedTeam = teams.any { it.demand > shares.getValue(it.team) + 1e-6 }
         if (hasUnsatisfiedTeam) assertEquals(1.0, shares.values.sum(), 1e-6)
     }
@@ -79,10 +79,10 @@
         val machines = List(machineCount) { machine(random, it, teams) }
         val running = machines.flatMap { it.tasks }
         val partitions = listOf("a", "b", "c").associateWith { zone -> partition(random, zone, teams, running) }
-        val terms = teams.associateWith { TeamEntitlement(random.nextInt(100).toDouble(), 0.0, 1.0) }
+        val entitlements = teams.associateWith { TeamEntitlement(random.nextInt(100).toDouble(), 0.0, 1.0) }
         return PlannerSnapshot(
             zone = "a",
-            cluster = ClusterPressure(partitions, terms),
+            cluster = ClusterPressure(partitions, entitlements),
             waiting = List(jobCount) { job(random, it, teams) },
             machines = machines,
             sampledShare = 0.1 + random.nextDouble() * 0.9,
--- a/src/test/kotlin/io/otterknot/rebalance/MoveReportTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/MoveReportTest.kt
@@ -3,13 +3,13 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** What `otterknot moves` makes of controllers' logs. */
+/** Tests the report that `otterknot moves` makes from the logs of controllers. */
 class MoveReportTest {
     private fun line(event: MoveEvent) = "INFO MoveJournal - ${MoveJournal.MARK}${MoveJournal.encode(event)}"
 
     @Test
-    fun `events are added up by team, and lines of others or of newer versions are passed over`() {
-        val handover = MoveEvent.Ended(
+    fun `events are aggregated by team, and lines without the mark or of newer versions are skipped`() {
+        val reassignment = MoveEvent.Ended(
             "a", "red", "j-000001", MoveKind.REASSIGNMENT, MoveState.PLACED, MoveReason.SHORTER_WAIT, 4.0, 7, "b",
         )
         val stop = MoveEvent.Ended(
@@ -26,8 +26,8 @@
         val unknown = "INFO MoveJournal - load-spread {\"type\":\"later\"}"
         val lines = listOf(
             "INFO Ownership - owner of a",
-            line(handover),
-            line(handover),
+            line(reassignment),
+            line(reassignment),
             line(stop),
             line(summary),
             unknown,
