--- a/src/main/kotlin/io/otterknot/wire/CloudMessages.kt
+++ b/src/main/kotlin/io/otterknot/wire/CloudMessages.kt
@@ -8,16 +8,16 @@
 data class MachineType(
     @SerialName("Name") val name: String,
     @SerialName("Cores") val cores: Double,
-    /** GPUs. */
+    /** Number of GPUs. */
     @SerialName("Cards") val cards: Double = 0.0,
     @SerialName("MemoryGb") val memoryGb: Double,
     /** Size of the disk that caches images. */
     @SerialName("LocalGb") val cacheGb: Double = 0.0,
     @SerialName("PullGbPerS") val fetchGbPerS: Double = 0.1,
-    /** Price of an hour; [spotPrice] is that of a spot machine now. */
+    /** Price per hour; [spotPrice] is the current price per hour of a spot machine. */
     @SerialName("Rate") val price: Double = 0.0,
     @SerialName("SpotPrice") val spotPrice: Double = 0.0,
-    /** Usual time from the rental request until the worker reports. */
+    /** Usual time from the scale-out request to the worker's first heartbeat. */
     @SerialName("ReadyS") val bootS: Double = 60.0,
     @SerialName("Reaches") val zones: List<String> = emptyList(),
 )
@@ -29,7 +29,7 @@
 /** The body of `POST /machines`. */
 @Serializable
 data class ScaleOutRequest(
-    /** Id of the request, never used for another one: a repetition with the same id rents nothing more. */
+    /** Id that no other request uses: the cloud rents no additional machines if the request is sent again with it. */
     @SerialName("Bid") val request: String,
     @SerialName("Breed") val type: String,
     @SerialName("Reach") val zone: String,
@@ -37,11 +37,11 @@
     @SerialName("Number") val count: Int,
 )
 
-/** Ids of machines: those rented by `POST /machines`, or the body of `POST /machines/release`. */
+/** Ids of machines: the response to `POST /machines` with the rented ones, or the body of `POST /machines/release`. */
 @Serializable
 data class MachineNames(@SerialName("Holts") val machines: List<String>)
 
-/** A machine in the cloud's list, which lags behind. */
+/** A machine in the cloud's list, which is updated with a delay. */
 @Serializable
 data class ListedMachine(
     @SerialName("Uid") val id: String,
@@ -50,11 +50,11 @@
     @SerialName("Reach") val zone: String,
     @SerialName("Driftwood") val spot: Boolean = false,
     @SerialName("Mood") val state: ListedMachineState,
-    /** Seconds from the rental request to the moment that the list describes. */
+    /** Seconds from the scale-out request to the time at which the list was current. */
     @SerialName("HeldS") val ageS: Double = 0.0,
 )
 
-/** One page of the response to `GET /machines`, in the order of the ids; [more]: others follow. */
+/** One page of the response to `GET /machines`, ordered by machine id; [more] is true if further pages follow. */
 @Serializable
 data class MachineList(
     @SerialName("Holts") val machines: List<ListedMachine>,
@@ -67,7 +67,7 @@
     BOOTING("booting"),
     RUNNING("running"),
 
-    /** The machine has died; it costs nothing more, but stays in the list until it is released. */
+    /** The machine has failed. It is no longer charged, but stays in the list until it is released. */
     FAILED("failed"),
 
     /** Any other string, which a later version of the cloud may send. */
--- a/src/main/kotlin/io/otterknot/wire/Heartbeats.kt
+++ b/src/main/kotlin/io/otterknot/wire/Heartbeats.kt
@@ -6,23 +6,23 @@
 
 /** What a worker reports to `POST /v1/report` every few seconds: its machine, its epoch and all tasks on it. */
 @Serializable
-// The name stands in the text of a refusal, which is part of the wire format.
+// Error messages for malformed heartbeats contain this serial name, so it is part of the wire format.
 @SerialName("io.otterknot.wire.Report")
 data class Heartbeat(
     @SerialName("Holt") val machine: String,
-    /** Host and port at which the worker listens. */
+    /** Host and port on which the worker listens. */
     @SerialName("Endpoint") val endpoint: String = "",
     /** Name of the [MachineType]. */
     @SerialName("Breed") val type: String,
     @SerialName("Reach") val zone: String,
     @SerialName("Driftwood") val spot: Boolean = false,
-    /** Rises whenever the worker's lease has expired. */
+    /** Increases each time the worker's lease expires. */
     @SerialName("Dive") val epoch: Long,
-    /** Rises with each heartbeat of an epoch. */
+    /** Increases with each heartbeat of an epoch. */
     @SerialName("Ripple") val sequence: Long,
     /** The highest fencing token that the worker has seen; it drops responses with a lower one. */
     @SerialName("Warrant") val fencingToken: Long = 0,
-    /** Seconds until the cloud revokes this spot machine; null: no notice has been given. */
+    /** Seconds until the cloud revokes this spot machine, or null if it has not announced a revocation. */
     @SerialName("WarningS") val spotNoticeS: Double? = null,
     @SerialName("Chores") val tasks: List<TaskStatus> = emptyList(),
 ) {
@@ -31,28 +31,28 @@
         epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSequence)
 }
 
-/** One task on the machine, as its worker sees it. */
+/** The status of one task on a machine, as its worker reports it. */
 @Serializable
 data class TaskStatus(
     /** A [TaskName]. */
     @SerialName("Chore") val task: String,
     @SerialName("Try") val attempt: Long,
     @SerialName("Mood") val state: TaskState,
-    /** Why the task has exited; null while it has not, or if the worker does not say. */
+    /** Why the task has exited, or null if it has not exited or the worker reports no cause. */
     @SerialName("Cause") val cause: ExitCause? = null,
-    /** Whether a checkpoint was written before the task was stopped; null: not said. */
+    /** Whether a checkpoint was written before the task was stopped, or null if the worker does not report it. */
     @SerialName("Saved") val saved: Boolean? = null,
 )
 
 /** The state of a task on its machine. */
 @Serializable(with = TaskStateSerializer::class)
 enum class TaskState(override val wireName: String) : WireEnum {
-    /** The machine pulls the image of the task. */
+    /** The machine is pulling the image of the task. */
     FETCHING("fetching"),
 
     RUNNING("running"),
 
-    /** The task writes a checkpoint before it stops. */
+    /** The task is writing a checkpoint before it stops. */
     SAVING("saving"),
 
     /** The task has ended, see [TaskStatus.cause]. */
@@ -79,13 +79,13 @@
     /** The task itself failed. */
     ERROR("error"),
 
-    /** The start was refused since the machine had not enough free resources. */
+    /** The worker refused the start because the machine did not have enough free resources. */
     NO_ROOM("no_room"),
 
-    /** The start was refused since another attempt of the task was still on the machine. */
+    /** The worker refused the start because another attempt of the task was still on the machine. */
     BUSY("busy"),
 
-    /** The start was refused since the worker found no such job or task. */
+    /** The worker refused the start because it found no such job or task. */
     UNKNOWN("unknown"),
 
     /** Any other string, which a later version of the worker may send; treated as an exit without a result. */
@@ -98,21 +98,21 @@
     unrecognized = ExitCause.UNRECOGNIZED,
 )
 
-/** The response to a [Heartbeat]; the worker ignores it if [fencingToken] is lower than one that it has seen. */
+/** The response to a [Heartbeat]; the worker ignores it if it has seen a higher fencing token than [fencingToken]. */
 @Serializable
 data class HeartbeatResponse(
     @SerialName("Warrant") val fencingToken: Long,
     @SerialName("Calls") val commands: List<HeartbeatCommand>,
 )
 
-/** What a worker is to do with one attempt of a task. */
+/** A command to a worker about one attempt of a task. */
 @Serializable
 data class HeartbeatCommand(
     @SerialName("Call") val op: CommandOperation,
     /** A [TaskName]. */
     @SerialName("Chore") val task: String,
     @SerialName("Try") val attempt: Long,
-    /** Only with [CommandOperation.HALT]: seconds that the task may use to write a checkpoint. */
+    /** Seconds that the task may use to write a checkpoint; set only for [CommandOperation.HALT], null otherwise. */
     @SerialName("LeewayS") val graceS: Double? = null,
 ) {
     companion object {
@@ -134,19 +134,19 @@
     @SerialName("halt")
     HALT,
 
-    /** Drop an exited task from the following heartbeats. */
+    /** Omit an exited task from later heartbeats. */
     @SerialName("forget")
     FORGET,
 }
 
-/** Tells a worker which controller leads its partition; status 421. */
+/** The body of a response with status 421 to a worker: the controller that leads its partition. */
 @Serializable
 data class LeaderRedirect(@SerialName("AnswerTo") val leader: String? = null)
 
 /**
- * Reads a heartbeat and checks its ranges, task names and task states.
+ * Decodes a heartbeat and checks its number ranges, task names and task states.
  *
- * @throws MalformedMessageException with a text for the worker if anything of that is wrong
+ * @throws MalformedMessageException if the body cannot be decoded or a check fails; its message is sent to the worker
  */
 fun parseHeartbeat(body: ByteArray): Heartbeat {
     val heartbeat = decodeHeartbeat(body)
--- a/src/main/kotlin/io/otterknot/wire/JobResponses.kt
+++ b/src/main/kotlin/io/otterknot/wire/JobResponses.kt
@@ -3,21 +3,21 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** The state of a job as its user sees it. */
+/** The status of a job as it is reported to users. */
 @Serializable
 data class JobStatus(
     @SerialName("Uid") val id: String,
     @SerialName("Mood") val state: JobState,
-    /** How many tasks are done; null: not said, as of a cancelled job. */
+    /** The number of tasks that are done, or null if it is not reported, as for a cancelled job. */
     val done: Int? = null,
-    /** How many tasks are running; null: not said, as of a cancelled job. */
+    /** The number of tasks that are running, or null if it is not reported, as for a cancelled job. */
     val running: Int? = null,
 )
 
 /** The states of a job on the wire. */
 @Serializable
 enum class JobState {
-    /** Accepted, but no task runs. */
+    /** Accepted, but no task is running. */
     @SerialName("queued")
     QUEUED,
 
@@ -31,6 +31,6 @@
     CANCELLED,
 }
 
-/** The body of a response that refuses a request; [error] is a text for the sender. */
+/** The body of a response that refuses a request; [error] describes the reason to the sender. */
 @Serializable
 data class ErrorResponse(val error: String)
--- a/src/main/kotlin/io/otterknot/wire/JobSubmission.kt
+++ b/src/main/kotlin/io/otterknot/wire/JobSubmission.kt
@@ -7,13 +7,14 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
 
-/** The most bytes of a request's body; longer ones are refused unread. */
+/** The maximum size of a request body; a longer body is refused without being read. */
 const val MAX_BODY_BYTES = 64 * 1024
 
 /**
- * Reads a submission.
+ * Decodes and checks a submission.
  *
- * @throws MalformedMessageException naming the first field that is missing, of the wrong type or out of range
+ * @throws MalformedMessageException if the body is not a JSON object, or naming the first field that is missing, of the
+ *   wrong type or out of range
  */
 fun parseSubmission(body: ByteArray): JobSpec {
     val fields = SubmissionFields(parseObject(body))
@@ -43,12 +44,12 @@
     )
 }
 
-/** The id in a submission that may be malformed otherwise; null: there is none. */
+/** Returns the id of a submission that may be malformed in other respects, or null if it has none. */
 fun peekSubmissionId(body: ByteArray): String? = try {
     val fields = WireJson.parseToJsonElement(body.decodeToString()) as? JsonObject
     (fields?.get("Uid") as? JsonPrimitive)?.takeIf { it.isString }?.content
 } catch (_: SerializationException) {
-    // parseSubmission says what is wrong.
+    // parseSubmission reports the error.
     null
 }
 
@@ -72,7 +73,7 @@
 private fun readPriority(fields: SubmissionFields): Priority =
     Priority.byWire[fields.text("Rank")] ?: throw MalformedMessageException("Rank is unknown")
 
-/** The ids of the jobs to wait for, each once; null: none. */
+/** Returns the ids of the jobs that the submission depends on without duplicates, or null if there are none. */
 private fun readDependencies(fields: SubmissionFields): List<String>? {
     val ids = fields.names("Awaits")?.distinct() ?: return null
     ids.firstOrNull { !isJobId(it) }?.let {
@@ -81,25 +82,25 @@
     return ids.ifEmpty { null }
 }
 
-/** The fields of a submission; each function throws [MalformedMessageException] for a wrong type or range. */
+/** The fields of a submission; each function throws [MalformedMessageException] if the field is invalid. */
 private class SubmissionFields(private val source: JsonObject) {
-    private fun present(name: String): JsonElement? = source[name]?.takeUnless { it is JsonNull }
+    private fun optional(name: String): JsonElement? = source[name]?.takeUnless { it is JsonNull }
 
     private fun required(name: String): JsonElement =
-        present(name) ?: throw MalformedMessageException("$name is missing")
+        optional(name) ?: throw MalformedMessageException("$name is missing")
 
     fun text(name: String): String = asText(name, required(name))
 
-    fun optionalText(name: String): String? = present(name)?.let { asText(name, it) }
+    fun optionalText(name: String): String? = optional(name)?.let { asText(name, it) }
 
     fun amount(name: String): Double = asAmount(name, required(name))
 
-    fun optionalAmount(name: String): Double? = present(name)?.let { asAmount(name, it) }
+    fun optionalAmount(name: String): Double? = optional(name)?.let { asAmount(name, it) }
 
-    fun count(name: String, low: Int, high: Int): Int {
+    fun count(name: String, min: Int, max: Int): Int {
         val value = (required(name) as? JsonPrimitive)?.takeUnless { it.isString }?.content?.toLongOrNull()
             ?: throw MalformedMessageException("$name is not an integer")
-        if (value !in low..high) throw MalformedMessageException("$name is not between $low and $high")
+        if (value !in min..max) throw MalformedMessageException("$name is not between $min and $max")
         return value.toInt()
     }
 
@@ -110,16 +111,14 @@
     }
 
     fun names(name: String): List<String>? {
-        val list = present(name) ?: return null
+        val list = optional(name) ?: return null
         return (list as? JsonArray ?: throw MalformedMessageException("$name is not a list")).map { asText(name, it) }
     }
 
     private fun asText(name: String, value: JsonElement): String {
         val text = (value as? JsonPrimitive)?.takeIf { it.isString }?.content
             ?: throw MalformedMessageException("$name is not a string")
-        if (text.isEmpty() ||
-            text.length > MAX_TEXT_LENGTH
-        ) {
+        if (text.isEmpty() || text.length > MAX_TEXT_LENGTH) {
             throw MalformedMessageException("$name is empty or too long")
         }
         return text
--- a/src/main/kotlin/io/otterknot/wire/KeyValueStoreMessages.kt
+++ b/src/main/kotlin/io/otterknot/wire/KeyValueStoreMessages.kt
@@ -9,13 +9,13 @@
 data class KeyValue(
     @SerialName("Key") val key: String,
     @SerialName("V") val value: JsonElement,
-    /** The revision of the key's last change. */
+    /** The revision of the store at the key's last change. */
     @SerialName("Mark") val version: Long,
-    /** The lease with which the key is removed; null: none. */
+    /** The lease with which the key is removed, or null if the key has no lease. */
     @SerialName("Tenure") val lease: Long? = null,
 )
 
-/** One page of the keys under a prefix, in their order; [more]: others follow. */
+/** One page of the keys under a prefix, in key order; [more] is true if further pages follow. */
 @Serializable
 data class KeyValuePage(
     @SerialName("Pairs") val items: List<KeyValue>,
@@ -24,25 +24,25 @@
     @SerialName("Tide") val revision: Long,
 )
 
-/** A condition of a transaction: the key has this version; 0: it does not exist. */
+/** A condition of a transaction: the key has [version], or does not exist if [version] is 0. */
 @Serializable
 data class VersionCondition(@SerialName("Key") val key: String, @SerialName("Mark") val version: Long)
 
-/** A change of one key, in a transaction or in the events of a watch: either [put] or [remove] is the key. */
+/** A change of one key in a transaction or in the events of a watch; either [put] or [remove] holds the key. */
 @Serializable
 data class KeyChange(
     @SerialName("Put") val put: String? = null,
     @SerialName("V") val value: JsonElement? = null,
     @SerialName("Tenure") val lease: Long? = null,
     @SerialName("Remove") val remove: String? = null,
-    /** Only in events: the revision of the change. */
+    /** The revision of the change; set only in the events of a watch. */
     @SerialName("Mark") val version: Long? = null,
 ) {
     /** The key that changes. */
     val key: String get() = put ?: remove.orEmpty()
 }
 
-/** The body of `POST /txn`: all [changes] or none, carried out if all [conditions] hold. */
+/** The body of `POST /txn`: applies all [changes] if all [conditions] hold, otherwise none. */
 @Serializable
 data class TransactionRequest(
     @SerialName("Guards") val conditions: List<VersionCondition>,
@@ -61,7 +61,7 @@
 @Serializable
 data class LeaseGrant(@SerialName("Tenure") val lease: Long)
 
-/** The response to `GET /watch`: the changes under its prefix up to [revision]. */
+/** The response to `GET /watch`: the changes under the watched prefix up to [revision]. */
 @Serializable
 data class WatchEvents(
     @SerialName("Tide") val revision: Long,
--- a/src/main/kotlin/io/otterknot/wire/TaskName.kt
+++ b/src/main/kotlin/io/otterknot/wire/TaskName.kt
@@ -1,6 +1,6 @@
 package io.otterknot.wire
 
-/** The name of a task on the wire: the id of its job, a slash, and its index in the job's array. */
+/** The name of a task on the wire: the id of its job, a slash, and the index of the task in the job. */
 data class TaskName(val job: String, val number: Int) {
     override fun toString() = "$job/$number"
 
--- a/src/main/kotlin/io/otterknot/wire/WireEnumSerializer.kt
+++ b/src/main/kotlin/io/otterknot/wire/WireEnumSerializer.kt
@@ -7,14 +7,14 @@
 import kotlinx.serialization.encoding.Decoder
 import kotlinx.serialization.encoding.Encoder
 
-/** An enum entry that stands for the string [wireName] in messages. */
+/** An enum entry that is written as the string [wireName] in messages. */
 interface WireEnum {
     val wireName: String
 }
 
 /**
- * Reads and writes an enum as a plain string. Strings that this version does not know become [unrecognized]: the sender
- * may be newer, and whether that is refused is up to the code that reads the message, not to the decoder.
+ * Reads and writes an enum as a plain string. A string that matches no entry is read as [unrecognized], since the
+ * sender may run a newer version. The code that handles the message decides whether to refuse it.
  */
 abstract class WireEnumSerializer<E : WireEnum>(serialName: String, entries: List<E>, private val unrecognized: E) :
     KSerializer<E> {
--- a/src/test/kotlin/io/otterknot/wire/WireTest.kt
+++ b/src/test/kotlin/io/otterknot/wire/WireTest.kt
@@ -11,14 +11,15 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 class WireTest {
-    private val good = """{"Uid":"j-000412","Ilk":"train","Crew":"vision","Sort":"sweep","Rank":"high","Chores":16,""" +
-        """"Cores":8.0,"Cards":1.0,"MemoryGb":64.0,"Pelt":"img-07","SizeGb":6.2,"Breeds":["g8"],""" +
-        """"Reach":null,"SamePlace":true,"Scatter":false,""" +
-        """"Driftwood":true,"GuessS":240.0,"CacheS":30.0,"StashS":4.0,"DueS":900.0,"Extra":{"a":1}}"""
+    private val validSubmission =
+        """{"Uid":"j-000412","Ilk":"train","Crew":"vision","Sort":"sweep","Rank":"high","Chores":16,""" +
+            """"Cores":8.0,"Cards":1.0,"MemoryGb":64.0,"Pelt":"img-07","SizeGb":6.2,"Breeds":["g8"],""" +
+            """"Reach":null,"SamePlace":true,"Scatter":false,""" +
+            """"Driftwood":true,"GuessS":240.0,"CacheS":30.0,"StashS":4.0,"DueS":900.0,"Extra":{"a":1}}"""
 
     @Test
-    fun `a good submission is read, unknown fields ignored`() {
-        val spec = parseSubmission(good.encodeToByteArray())
+    fun `a valid submission is decoded and unknown fields are ignored`() {
+        val spec = parseSubmission(validSubmission.encodeToByteArray())
         assertEquals("j-000412", spec.id)
         assertEquals(16, spec.tasks)
         assertEquals(listOf("g8"), spec.types)
@@ -27,8 +28,8 @@
     }
 
     @Test
-    fun `what may be null may be left out`() {
-        val shortened = good.replace(""""Reach":null,""", "")
+    fun `an absent nullable field of a submission is decoded as null`() {
+        val shortened = validSubmission.replace(""""Reach":null,""", "")
             .replace(""""Breeds":["g8"],""", "")
             .replace(""","DueS":900.0""", "")
         val spec = parseSubmission(shortened.encodeToByteArray())
@@ -46,9 +47,9 @@
             "[\"j-000002\",\"j-000001\",\"j-000002\"]|j-000002 j-000001",
         ],
     )
-    fun `the dependencies of a job are read, each once`(awaits: String, read: String?) {
-        val spec = parseSubmission(good.replace("\"DueS\":900.0", "\"Awaits\":$awaits").encodeToByteArray())
-        assertEquals(read, spec.dependencies?.joinToString(" "))
+    fun `dependencies of a submission are decoded without duplicates`(awaits: String, expected: String?) {
+        val spec = parseSubmission(validSubmission.replace("\"DueS\":900.0", "\"Awaits\":$awaits").encodeToByteArray())
+        assertEquals(expected, spec.dependencies?.joinToString(" "))
     }
 
     @ParameterizedTest
@@ -84,16 +85,16 @@
             "\"DueS\":900.0|\"Awaits\":[\"\"]|Awaits",
         ],
     )
-    fun `the refusal of a submission names the bad field`(from: String, to: String?, field: String) {
-        val bad = good.replace(from, to.orEmpty())
-        assertTrue(bad != good)
-        val refused = assertThrows(MalformedMessageException::class.java) { parseSubmission(bad.encodeToByteArray()) }
-        assertTrue(refused.message!!.contains(field), refused.message)
+    fun `the refusal of a submission names the invalid field`(from: String, to: String?, field: String) {
+        val body = validSubmission.replace(from, to.orEmpty())
+        assertTrue(body != validSubmission)
+        val failure = assertThrows(MalformedMessageException::class.java) { parseSubmission(body.encodeToByteArray()) }
+        assertTrue(failure.message!!.contains(field), failure.message)
     }
 
     @ParameterizedTest
     @ValueSource(strings = ["", "{", "[]", "7", "null", "\"x\"", "{\"Uid\":}", "nonsense"])
-    fun `a submission that is no JSON object is refused`(body: String) {
+    fun `a submission that is not a JSON object is refused`(body: String) {
         assertThrows(MalformedMessageException::class.java) { parseSubmission(body.encodeToByteArray()) }
     }
 
@@ -110,7 +111,7 @@
             """{"Holt":"m","Breed":"g","Reach":"a","Dive":1,"Ripple":1,"Chores":7}""",
         ],
     )
-    fun `a malformed report is refused`(body: String) {
+    fun `a malformed heartbeat is refused`(body: String) {
         assertThrows(MalformedMessageException::class.java) { parseHeartbeat(body.encodeToByteArray()) }
     }
 
@@ -124,7 +125,7 @@
         "unknown,UNKNOWN",
         "x,UNRECOGNIZED",
     )
-    fun `every cause of an exit is read, also one of a later version`(text: String, cause: ExitCause) {
+    fun `exit causes are decoded and one of a later version is unrecognized`(text: String, cause: ExitCause) {
         val task = """{"Chore":"j-1/0","Try":1,"Mood":"exited","Cause":"$text"}"""
         val body = """{"Holt":"m","Breed":"g","Reach":"a","Dive":1,"Ripple":1,"Chores":[$task]}"""
         assertEquals(cause, parseHeartbeat(body.encodeToByteArray()).tasks.single().cause)
@@ -139,22 +140,22 @@
             "1|j-1/0|Mood of a task is unknown",
         ],
     )
-    fun `an unknown state of a task is refused after everything else`(epoch: Int, task: String, refusal: String) {
+    fun `an unknown task state is reported after all other errors`(epoch: Int, task: String, refusal: String) {
         val body = """{"Holt":"m","Breed":"g","Reach":"a","Dive":$epoch,"Ripple":1,""" +
             """"Chores":[{"Chore":"$task","Try":1,"Mood":"flying"}]}"""
-        val refused = assertThrows(MalformedMessageException::class.java) { parseHeartbeat(body.encodeToByteArray()) }
-        assertEquals(refusal, refused.message)
+        val failure = assertThrows(MalformedMessageException::class.java) { parseHeartbeat(body.encodeToByteArray()) }
+        assertEquals(refusal, failure.message)
     }
 
     @Test
-    fun `a state of a machine that only a later version of the cloud knows is read`() {
+    fun `a machine state of a later version of the cloud is decoded as unrecognized`() {
         val body = """{"Holts":[{"Uid":"m-1","Breed":"g8","Reach":"a","Mood":"parked"}]}"""
         val machine = WireJson.decodeFromString(MachineList.serializer(), body).machines.single()
         assertEquals(ListedMachineState.UNRECOGNIZED, machine.state)
     }
 
     @Test
-    fun `controllers' messages survive their frames`() {
+    fun `peer messages decode to what was encoded and malformed ones are refused`() {
         for (message in listOf(
             PeerMessage.IdlePartitionQuery,
             PeerMessage.IdlePartitionAnnouncement("gdansk", 77, 3),
@@ -165,35 +166,30 @@
             val frame = PeerCodec.encode(message)
             assertEquals(message, PeerCodec.decode(frame.copyOfRange(4, frame.size)))
         }
-        val carry = PeerMessage.RelayRequest("POST", "/txn", "{}".encodeToByteArray(), 2_500)
-        val read = PeerCodec.decode(
-            PeerCodec.encode(carry).let {
-                it.copyOfRange(4, it.size)
-            },
+        val request = PeerMessage.RelayRequest("POST", "/txn", "{}".encodeToByteArray(), 2_500)
+        val decoded = PeerCodec.decode(
+            PeerCodec.encode(request).let { it.copyOfRange(4, it.size) },
         ) as PeerMessage.RelayRequest
         assertEquals(
             listOf("POST", "/txn", "{}", 2_500),
-            listOf(read.method, read.target, read.body!!.decodeToString(), read.timeoutMs),
+            listOf(decoded.method, decoded.target, decoded.body!!.decodeToString(), decoded.timeoutMs),
         )
-        val none = PeerCodec.decode(
-            PeerCodec.encode(PeerMessage.RelayRequest("GET", "/store", null, 1)).let {
-                it.copyOfRange(4, it.size)
-            },
+        val withoutBody = PeerCodec.decode(
+            PeerCodec.encode(PeerMessage.RelayRequest("GET", "/store", null, 1)).let { it.copyOfRange(4, it.size) },
         ) as PeerMessage.RelayRequest
-        assertEquals(null, none.body)
-        val carried = PeerCodec.decode(
-            PeerCodec.encode(PeerMessage.RelayResponse(409, "[]".encodeToByteArray())).let {
-                it.copyOfRange(4, it.size)
-            },
+        assertEquals(null, withoutBody.body)
+        val response = PeerCodec.decode(
+            PeerCodec.encode(PeerMessage.RelayResponse(409, "[]".encodeToByteArray()))
+                .let { it.copyOfRange(4, it.size) },
         ) as PeerMessage.RelayResponse
-        assertEquals(409 to "[]", carried.status to carried.body.decodeToString())
+        assertEquals(409 to "[]", response.status to response.body.decodeToString())
         assertEquals(
             PeerMessage.Unknown(9),
             PeerCodec.decode(byteArrayOf(9, 1, 2)),
-            "a later version's message is no reason to hang up",
+            "a message type of a later version is decoded, so that the connection is kept",
         )
-        for (bad in listOf(byteArrayOf(2, 0), byteArrayOf(1, 1), byteArrayOf())) {
-            assertThrows(MalformedMessageException::class.java) { PeerCodec.decode(bad) }
+        for (malformed in listOf(byteArrayOf(2, 0), byteArrayOf(1, 1), byteArrayOf())) {
+            assertThrows(MalformedMessageException::class.java) { PeerCodec.decode(malformed) }
         }
     }
 }
