--- a/src/main/kotlin/io/otterknot/ratelimit/RateLimits.kt
+++ b/src/main/kotlin/io/otterknot/ratelimit/RateLimits.kt
@@ -1,11 +1,11 @@
 package io.otterknot.ratelimit
 
-/** What a service lets all controllers together ask of it: requests of any kind, and changes of its state. */
+/** The limits of a service for all controllers together: requests of any kind, and changes of the service's state. */
 class RateLimits(val requestsPerS: Double, val changesPerS: Double)
 
-/** This controller's share of a service's [RateLimits], between 0 and 1 each. */
+/** This controller's shares of a service's [RateLimits], each between 0 and 1. */
 class RateLimitShare(val requests: Double, val changes: Double) {
     companion object {
-        val WHOLE = RateLimitShare(1.0, 1.0)
+        val FULL = RateLimitShare(1.0, 1.0)
     }
 }
--- a/src/main/kotlin/io/otterknot/ratelimit/RefusalBackoff.kt
+++ b/src/main/kotlin/io/otterknot/ratelimit/RefusalBackoff.kt
@@ -3,22 +3,22 @@
 import io.otterknot.time.NEVER_MS
 
 /**
- * The share of the known limits that is used, by multiplicative decrease with each refusal that the limits do not
- * explain and additive increase with time.
+ * Computes the share of the known limits to use: multiplicative decrease on each refusal that the limits do not
+ * explain, additive increase over time.
  */
 internal class RefusalBackoff {
     private var share = 1.0
-    private var decreasedMs = NEVER_MS
+    private var lastDecreaseMs = NEVER_MS
 
-    /** A request was refused for its rate, although the limits allow it. */
+    /** Decreases the share after a request was refused because of its rate although it was within the limits. */
     fun decrease(nowMs: Long) {
-        if (nowMs - decreasedMs < MIN_DECREASE_INTERVAL_MS) return
+        if (nowMs - lastDecreaseMs < MIN_DECREASE_INTERVAL_MS) return
         share = maxOf(MIN_SHARE, shareAt(nowMs) * DECREASE_FACTOR)
-        decreasedMs = nowMs
+        lastDecreaseMs = nowMs
     }
 
     fun shareAt(nowMs: Long): Double {
-        val recoveringMs = maxOf(0L, nowMs - decreasedMs - RECOVERY_DELAY_MS)
+        val recoveringMs = maxOf(0L, nowMs - lastDecreaseMs - RECOVERY_DELAY_MS)
         return minOf(1.0, share + recoveringMs * RECOVERY_PER_MS)
     }
 
@@ -28,7 +28,7 @@
         const val MIN_DECREASE_INTERVAL_MS = 2_000L
         const val RECOVERY_DELAY_MS = 10_000L
 
-        /** A tenth of the limits in ten seconds. */
+        /** Restores a tenth of the limits in ten seconds. */
         const val RECOVERY_PER_MS = 1e-5
     }
 }
--- a/src/main/kotlin/io/otterknot/ratelimit/TokenBucket.kt
+++ b/src/main/kotlin/io/otterknot/ratelimit/TokenBucket.kt
@@ -1,10 +1,10 @@
 package io.otterknot.ratelimit
 
 /**
- * A token bucket that may go into debt: [tokens] below 0 are taken by callers that wait for their turn. It holds
- * [BURST_S] worth of its rate, and at least one token.
+ * A token bucket whose balance may be negative: a caller takes its tokens first and then waits until [tokens] is at
+ * least 0 again. The capacity is what accrues in [BURST_S] at the current rate, and at least one token.
  */
-internal class TokenBucket(var limitPerS: Double, private var refilledMs: Long) {
+internal class TokenBucket(var limitPerS: Double, private var lastRefillMs: Long) {
     private var ratePerS = limitPerS
     private var tokens = Double.MAX_VALUE
 
@@ -12,22 +12,22 @@
 
     val isHalfFull: Boolean get() = tokens >= capacity / 2
 
-    /** Adds what has come since the last refill, at [share] of the limit. */
+    /** Adds the tokens accrued since the last refill at [share] of the limit. */
     fun refill(nowMs: Long, share: Double) {
         ratePerS = limitPerS * share
-        tokens = minOf(capacity, tokens + (nowMs - refilledMs) * ratePerS / MS_PER_S)
-        refilledMs = nowMs
+        tokens = minOf(capacity, tokens + (nowMs - lastRefillMs) * ratePerS / MS_PER_S)
+        lastRefillMs = nowMs
     }
 
-    /** Takes [count] tokens, or puts them back if it is negative. */
+    /** Takes [count] tokens, or returns tokens if [count] is negative. */
     fun take(count: Int) {
         tokens -= count
     }
 
-    /** How long until [wanted] tokens are in it; 0: they are. */
-    fun waitMs(wanted: Double = 0.0): Long {
-        if (tokens >= wanted) return 0
-        return ((wanted - tokens) * MS_PER_S / ratePerS).toLong() + 1
+    /** Returns the time until the bucket holds [minTokens] tokens, or 0 if it already does. */
+    fun waitMs(minTokens: Double = 0.0): Long {
+        if (tokens >= minTokens) return 0
+        return ((minTokens - tokens) * MS_PER_S / ratePerS).toLong() + 1
     }
 
     private companion object {
--- a/src/test/kotlin/io/otterknot/ratelimit/RateLimiterTest.kt
+++ b/src/test/kotlin/io/otterknot/ratelimit/RateLimiterTest.kt
@@ -22,14 +22,14 @@
         assertTrue(limiter.tryAcquire(1, 2_000))
     }
 
-    /** A poll behind a long batch of completions, or a submission behind a queue of handovers, would be refused. */
+    /** Polls behind a long batch of completions and submissions behind queued handovers must not be refused. */
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `reads do not wait for changes and users do not wait for background tasks`() = runTest {
         val limiter = RateLimiter(50.0, 5.0, { testScheduler.currentTime })
         repeat(4) { launch { limiter.acquireSpare(4) } }
         repeat(4) { launch { limiter.acquireSpare(1, lowPriority = true) } }
-        // Submissions in a burst go into debt for a while.
+        // Submissions in a burst make the balance of the bucket negative for a while.
         repeat(3) { launch { assertTrue(limiter.tryAcquire(3, 5_000)) } }
         testScheduler.runCurrent()
         val before = currentTime
@@ -42,10 +42,10 @@
         }
     }
 
-    /** Users come in bursts: what background tasks do at any time must not make the first of them wait. */
+    /** User requests arrive in bursts: the first ones must not wait because of background tasks. */
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
-    fun `background tasks leave some changes to users`() = runTest {
+    fun `background tasks reserve some changes for users`() = runTest {
         val limiter = RateLimiter(1_000.0, 10.0, { testScheduler.currentTime })
         repeat(3) { launch { while (currentTime < 20_000) limiter.acquireSpare(2) } }
         repeat(10) {
@@ -56,7 +56,7 @@
 
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
-    fun `a share that grows brings more and one that shrinks less, never a burst beyond it`() = runTest {
+    fun `the rate follows a share that grows and shrinks without a burst above it`() = runTest {
         var share = 0.2
         val limiter = RateLimiter(1_000.0, 100.0, { testScheduler.currentTime }, { RateLimitShare(share, share) })
         suspend fun changesIn(ms: Long): Int {
@@ -76,7 +76,7 @@
         assertTrue(changesIn(2_000) in 8..16)
     }
 
-    /** An unannounced limit: less and less is asked until nothing is refused, and more again in time. */
+    /** With an unannounced limit, the rate decreases until nothing is refused and increases again over time. */
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `refusals that the known limits do not explain lower the rate for a while`() = runTest {
@@ -86,23 +86,23 @@
         repeat(2) { limiter.onRateRefused() }
         limiter.onRateRefused()
         secondsFor(10)
-        assertEquals(2, secondsFor(20), "others may not have noticed yet")
+        assertEquals(2, secondsFor(20), "other controllers may not have switched to the lowered limits yet")
         delay(9_000)
         repeat(6) {
             limiter.onRateRefused()
             delay(2_100)
         }
         secondsFor(10)
-        assertTrue(secondsFor(20) in 4..7, "about 0.4 of the rate is left")
+        assertTrue(secondsFor(20) in 4..7, "the rate is about 0.4 of the limit")
         delay(90_000)
         secondsFor(10)
         assertEquals(2, secondsFor(20))
     }
 
-    /** One refusal may be another node's doing; the second says that the limits are lower now. */
+    /** One refusal may be caused by another controller; a second one soon after shows that the limits are lower. */
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
-    fun `announced lower limits hold once requests are refused for their rate`() = runTest {
+    fun `lowered limits apply after two rate refusals in short succession`() = runTest {
         val limiter = RateLimiter(100.0, 10.0, { testScheduler.currentTime }, loweredLimits = RateLimits(100.0, 5.0))
         suspend fun secondsFor(changes: Int) = secondsFor(limiter, changes)
         secondsFor(10)
@@ -117,7 +117,7 @@
         assertTrue(secondsFor(30) in 5..6)
     }
 
-    /** How long so many changes of background tasks take, in whole seconds of virtual time. */
+    /** Returns the time that [changes] changes of background tasks take, in whole seconds of virtual time. */
     @OptIn(ExperimentalCoroutinesApi::class)
     private suspend fun TestScope.secondsFor(limiter: RateLimiter, changes: Int): Long {
         val before = currentTime
