--- a/src/main/kotlin/io/otterknot/cloud/CloudClient.kt
+++ b/src/main/kotlin/io/otterknot/cloud/CloudClient.kt
@@ -15,12 +15,12 @@
 import kotlinx.serialization.SerializationException
 
 /**
- * The cloud's HTTP interface (PROTOCOL). Each call waits until [rateLimiter], this controller's share of the cloud's
- * limit, lets it pass.
+ * A client of the cloud's HTTP interface (PROTOCOL). Each call first waits for [rateLimiter], which keeps this
+ * controller within its share of the cloud's limit.
  */
 class CloudClient(private val http: Transport, private val rateLimiter: RateLimiter) {
 
-    /** The machine types that the cloud offers. */
+    /** Returns the machine types that the cloud offers. */
     suspend fun types(): CloudResult<List<MachineType>> {
         rateLimiter.acquire()
         return when (val result = decode(MachineTypes.serializer(), get("/flavors"))) {
@@ -29,7 +29,7 @@
         }
     }
 
-    /** All machines of the cloud's list, which lags behind; read page by page. */
+    /** Returns all machines of the cloud's list, which is updated with a delay. Reads it page by page. */
     suspend fun machines(): CloudResult<List<ListedMachine>> {
         val all = ArrayList<ListedMachine>()
         var afterId: String? = null
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Asks for machines. The cloud carries a request of one name out once, however often it is sent. */
+    /** Requests machines. The cloud carries out a request with the same id only once, however often it is sent. */
     suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult {
         rateLimiter.acquire()
         val body = WireJson.encodeToString(ScaleOutRequest.serializer(), request).encodeToByteArray()
@@ -56,23 +56,23 @@
         }
     }
 
-    private fun scaleOutResult(answer: Reply.Answer): ScaleOutResult = when (answer.status) {
-        HttpStatus.OK -> when (val granted = decode(MachineNames.serializer(), answer)) {
+    private fun scaleOutResult(response: Reply.Answer): ScaleOutResult = when (response.status) {
+        HttpStatus.OK -> when (val granted = decode(MachineNames.serializer(), response)) {
             is CloudResult.Success -> ScaleOutResult.Granted(granted.value.machines)
             is CloudResult.Failure -> ScaleOutResult.Unanswered(granted.error)
         }
 
         HttpStatus.SERVICE_UNAVAILABLE -> when {
-            NO_CAPACITY in answer.text -> ScaleOutResult.NoCapacity
-            else -> ScaleOutResult.Refused(describe(answer))
+            NO_CAPACITY in response.text -> ScaleOutResult.NoCapacity
+            else -> ScaleOutResult.Refused(describe(response))
         }
 
-        HttpStatus.BAD_REQUEST, HttpStatus.TOO_MANY_REQUESTS -> ScaleOutResult.Refused(describe(answer))
+        HttpStatus.BAD_REQUEST, HttpStatus.TOO_MANY_REQUESTS -> ScaleOutResult.Refused(describe(response))
 
-        else -> ScaleOutResult.Unanswered(describe(answer))
+        else -> ScaleOutResult.Unanswered(describe(response))
     }
 
-    /** Releases [machines]. Success means that they and everything on them are gone. */
+    /** Releases [machines]. Success means that the machines and all tasks on them no longer exist. */
     suspend fun release(machines: List<String>): CloudResult<Unit> {
         rateLimiter.acquire()
         val body = WireJson.encodeToString(MachineNames.serializer(), MachineNames(machines)).encodeToByteArray()
@@ -89,23 +89,23 @@
         is Reply.Answer -> if (reply.status == HttpStatus.OK) parse(serializer, reply) else failure(reply)
     }
 
-    private fun <T> parse(serializer: KSerializer<T>, answer: Reply.Answer): CloudResult<T> = try {
-        CloudResult.Success(WireJson.decodeFromString(serializer, answer.text))
+    private fun <T> parse(serializer: KSerializer<T>, response: Reply.Answer): CloudResult<T> = try {
+        CloudResult.Success(WireJson.decodeFromString(serializer, response.text))
     } catch (e: SerializationException) {
-        CloudResult.Failure("unreadable answer: ${e.message}")
+        CloudResult.Failure("response body cannot be decoded: ${e.message}")
     }
 
-    private fun failure(answer: Reply.Answer) = CloudResult.Failure(describe(answer))
+    private fun failure(response: Reply.Answer) = CloudResult.Failure(describe(response))
 
-    private fun describe(answer: Reply.Answer) = "status ${answer.status}: ${answer.text}"
+    private fun describe(response: Reply.Answer) = "status ${response.status}: ${response.text}"
 
     private companion object {
         const val TIMEOUT_MS = 4_000L
 
-        /** The most machines in one page of the list (PROTOCOL, GET /machines). */
+        /** The maximum number of machines in one page of the list (PROTOCOL, GET /machines). */
         const val PAGE_SIZE = 500
 
-        /** Tells a 503 for want of machines from one of a cloud in trouble. */
+        /** Contained in the body of a 503 response for lack of machines, but not if the cloud itself is unavailable. */
         const val NO_CAPACITY = "capacity"
         val RELEASED = CloudResult.Success(Unit)
     }
--- a/src/main/kotlin/io/otterknot/cloud/CloudResult.kt
+++ b/src/main/kotlin/io/otterknot/cloud/CloudResult.kt
@@ -1,9 +1,9 @@
 package io.otterknot.cloud
 
-/** What came of a request to the cloud that may be repeated without harm. */
+/** The result of an idempotent request to the cloud. */
 sealed interface CloudResult<out T> {
     class Success<T>(val value: T) : CloudResult<T>
 
-    /** No answer, a refusal, or an answer that cannot be read; [error] says which. */
+    /** No response, a refusal, or a response that cannot be decoded; [error] describes which. */
     class Failure(val error: String) : CloudResult<Nothing>
 }
--- a/src/main/kotlin/io/otterknot/cloud/ScaleOutResult.kt
+++ b/src/main/kotlin/io/otterknot/cloud/ScaleOutResult.kt
@@ -1,16 +1,16 @@
 package io.otterknot.cloud
 
-/** What came of a scale-out request. */
+/** The result of a scale-out request. */
 sealed interface ScaleOutResult {
-    /** The ids of the new [machines], perhaps fewer than were asked for. */
+    /** Machines were granted, possibly fewer than requested; [machines] are their ids. */
     class Granted(val machines: List<String>) : ScaleOutResult
 
-    /** Nothing was granted: the cloud has no machine of this kind in this zone now. */
+    /** No machine was granted: the cloud currently has none of this type in this zone. */
     data object NoCapacity : ScaleOutResult
 
-    /** Nothing was granted, for a reason that says nothing about capacity. */
+    /** No machine was granted, for a reason unrelated to capacity. */
     class Refused(val error: String) : ScaleOutResult
 
-    /** It is not known whether machines were granted; the same request, sent again, tells. */
+    /** It is unknown whether machines were granted; sending the same request again returns the result. */
     class Unanswered(val error: String) : ScaleOutResult
 }
