--- a/src/main/kotlin/io/otterknot/api/JobAdmission.kt
+++ b/src/main/kotlin/io/otterknot/api/JobAdmission.kt
@@ -28,7 +28,7 @@
     }
 
     private fun exceedsLimit(spec: JobSpec, team: TeamSettings): Boolean =
-        exceeds(spec.cores, team.cpusMax) || exceeds(spec.cards, team.gpusMax)
+        exceeds(spec.cores, team.cpusMax) || exceeds(spec.gpus, team.gpusMax)
 
     /** A [limit] of 0 stands for none. */
     private fun exceeds(amount: Double, limit: Double) = limit > 0 && amount > limit
@@ -37,5 +37,5 @@
         (spec.types == null || type.name in spec.types) && (spec.zone == null || spec.zone in type.zones)
 
     private fun fits(spec: JobSpec, type: MachineType): Boolean =
-        spec.cores <= type.cores && spec.memoryGb <= type.memoryGb && spec.cards <= type.cards
+        spec.cores <= type.cores && spec.memoryGb <= type.memoryGb && spec.gpus <= type.gpus
 }
--- a/src/main/kotlin/io/otterknot/controller/PartitionLoadPublisher.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionLoadPublisher.kt
@@ -41,7 +41,7 @@
     private fun currentLoad(partition: Partition): PartitionLoadRecord {
         val needs = limitedTeams
             .associateWith { partition.quota.need(it) }
-            .filterValues { it.cores > 0 || it.cards > 0 }
+            .filterValues { it.cores > 0 || it.gpus > 0 }
         return PartitionLoadRecord(
             meanLoad = round(partition.load.mean()),
             cores = partition.load.totalCores,
--- a/src/main/kotlin/io/otterknot/partition/MachineSet.kt
+++ b/src/main/kotlin/io/otterknot/partition/MachineSet.kt
@@ -46,5 +46,5 @@
     }
 
     private fun capacityOf(typeName: String): QuotaAmount? =
-        machineTypes(typeName)?.let { QuotaAmount(it.cores, it.cards) }
+        machineTypes(typeName)?.let { QuotaAmount(it.cores, it.gpus) }
 }
--- a/src/main/kotlin/io/otterknot/partition/TeamQuotaLedger.kt
+++ b/src/main/kotlin/io/otterknot/partition/TeamQuotaLedger.kt
@@ -17,7 +17,7 @@
         teams.forEachIndexed { index, team -> put(team.name, index) }
     }
     private val usedCores = DoubleArray(teams.size)
-    private val usedCards = DoubleArray(teams.size)
+    private val usedGpus = DoubleArray(teams.size)
     private val usedMemoryGb = DoubleArray(teams.size)
 
     val names: List<String> = teams.map { it.name }
@@ -29,7 +29,7 @@
 
     /** What the tasks of a team that are booked here take. */
     fun usage(team: Int): Resources =
-        if (team < 0) Resources.NONE else Resources(usedCores[team], usedMemoryGb[team], usedCards[team])
+        if (team < 0) Resources.NONE else Resources(usedCores[team], usedMemoryGb[team], usedGpus[team])
 
     fun book(team: Int, spec: JobSpec) = addUsage(team, spec, 1)
 
@@ -38,7 +38,7 @@
     private fun addUsage(team: Int, spec: JobSpec, tasks: Int) {
         if (team < 0) return
         usedCores[team] += spec.cores * tasks
-        usedCards[team] += spec.cards * tasks
+        usedGpus[team] += spec.gpus * tasks
         usedMemoryGb[team] += spec.memoryGb * tasks
     }
 
@@ -55,7 +55,7 @@
      * a task not booked here, may be full of its tasks, also of jobs that have ended.
      */
     private fun remaining(team: Int): QuotaAmount {
-        val remaining = teams[team].quotaShare - QuotaAmount(usedCores[team], usedCards[team])
+        val remaining = teams[team].quotaShare - QuotaAmount(usedCores[team], usedGpus[team])
         return remaining - (unknownUsage.total() ?: return QuotaAmount())
     }
 
@@ -63,7 +63,7 @@
     fun startable(team: Int, spec: JobSpec, wanted: Int): Int {
         val remaining = remaining(team)
         val byCores = atMost(wanted, remaining.cores, spec.cores)
-        return maxOf(0, atMost(byCores, remaining.cards, spec.cards))
+        return maxOf(0, atMost(byCores, remaining.gpus, spec.gpus))
     }
 
     private fun atMost(count: Int, available: Double, forEach: Double): Int =
@@ -100,13 +100,13 @@
 
     private fun needed(waiting: List<PartitionJob>) = QuotaAmount(
         cores = waiting.sumOf { it.pendingCount * it.spec.cores },
-        cards = waiting.sumOf { it.pendingCount * it.spec.cards },
+        gpus = waiting.sumOf { it.pendingCount * it.spec.gpus },
     )
 
     private fun QuotaAmount.covers(spec: JobSpec) =
-        spec.cores <= cores + Machine.EPSILON && spec.cards <= cards + Machine.EPSILON
+        spec.cores <= cores + Machine.EPSILON && spec.gpus <= gpus + Machine.EPSILON
 
-    private fun QuotaAmount.atLeastZero() = QuotaAmount(maxOf(0.0, cores), maxOf(0.0, cards))
+    private fun QuotaAmount.atLeastZero() = QuotaAmount(maxOf(0.0, cores), maxOf(0.0, gpus))
 
     private companion object {
         const val UNKNOWN_TEAM = -1
--- a/src/main/kotlin/io/otterknot/quota/QuotaTransfers.kt
+++ b/src/main/kotlin/io/otterknot/quota/QuotaTransfers.kt
@@ -43,8 +43,8 @@
         val receiver = views.values.firstOrNull { it.zone != partition.zone && team in it.needs } ?: return
         val need = receiver.needs.getValue(team)
         val spare = partition.quota.spare(team, receiver.zone)
-        val amount = QuotaAmount(minOf(spare.cores, need.cores), minOf(spare.cards, need.cards))
-        if (amount.cores < MIN_AMOUNT && amount.cards < MIN_AMOUNT) return
+        val amount = QuotaAmount(minOf(spare.cores, need.cores), minOf(spare.gpus, need.gpus))
+        if (amount.cores < MIN_AMOUNT && amount.gpus < MIN_AMOUNT) return
         transfer(partition, team, receiver.zone, amount)
     }
 
@@ -64,7 +64,7 @@
                 team,
                 receiver,
                 amount.cores,
-                amount.cards,
+                amount.gpus,
                 settlement,
             )
         }
--- a/src/main/kotlin/io/otterknot/rebalance/ClusterPressure.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/ClusterPressure.kt
@@ -7,7 +7,7 @@
 class ClusterPressure(val partitions: Map<String, PartitionPressure>, private val teams: Map<String, TeamEntitlement>) {
     private val runS = partitions.values.mapNotNull { it.meanRunS }.ifEmpty { null }?.average() ?: DEFAULT_RUN_TIME_S
 
-    /** Only cores, unless all leaders publish the memory and cards of their machines. */
+    /** Only cores, unless all leaders publish the memory and GPUs of their machines. */
     private val capacity: Resources = totalCapacity().let { total ->
         val isPublishedByAll = partitions.values.all { it.teams != null }
         if (isPublishedByAll) total else Resources(cores = total.cores)
@@ -35,7 +35,7 @@
     private fun demand(team: String, terms: TeamEntitlement): TeamDemand {
         val waiting = partitions.values.sumOf { it.teams?.get(team)?.waitingCores ?: 0.0 }
         val demand = (used(team) + Resources(cores = waiting)).dominantShare(capacity)
-        val guaranteed = Resources(cores = terms.guaranteedCores, cards = terms.guaranteedCards)
+        val guaranteed = Resources(cores = terms.guaranteedCores, gpus = terms.guaranteedGpus)
         return TeamDemand(team, demand, guaranteed.dominantShare(capacity), terms.weight)
     }
 
--- a/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
@@ -34,13 +34,13 @@
                 TeamPressureRecord(
                     cores = team.used.cores,
                     memoryGb = team.used.memoryGb,
-                    cards = team.used.cards,
+                    gpus = team.used.gpus,
                     waitingCores = team.waitingCores,
                     oldestReadyMs = team.oldestReadyMs,
                 )
             },
             memoryGb = capacity.memoryGb,
-            cards = capacity.cards,
+            gpus = capacity.gpus,
             meanRunS = meanRunS(partition)?.let { Math.round(it * 10) / 10.0 },
             images = images(partition),
             fetchFactor = Math.round(partition.fetchTimes.factor * 10) / 10.0,
@@ -83,7 +83,7 @@
         val record = view.pressure
         return PartitionPressure(
             zone = view.zone,
-            capacity = Resources(view.cores, record?.memoryGb ?: 0.0, record?.cards ?: 0.0),
+            capacity = Resources(view.cores, record?.memoryGb ?: 0.0, record?.gpus ?: 0.0),
             ordinaryCores = view.ordinaryCores,
             mean = view.mean,
             ordinaryMean = view.ordinaryMean,
@@ -91,7 +91,7 @@
             fetchFactor = record?.fetchFactor ?: 1.0,
             images = record?.images.orEmpty().toSet(),
             teams = record?.teams?.mapValues { (_, team) ->
-                val used = Resources(team.cores, team.memoryGb, team.cards)
+                val used = Resources(team.cores, team.memoryGb, team.gpus)
                 TeamPressure(used, team.waitingCores, team.oldestReadyMs)
             },
         )
--- a/src/main/kotlin/io/otterknot/rebalance/QuotaCoverage.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/QuotaCoverage.kt
@@ -31,7 +31,7 @@
     }
 
     private fun fits(taken: QuotaAmount, guarantee: TeamSettings): Boolean =
-        taken.cores <= guarantee.cpus + RESOURCE_EPSILON && taken.cards <= guarantee.gpus + RESOURCE_EPSILON
+        taken.cores <= guarantee.cpus + RESOURCE_EPSILON && taken.gpus <= guarantee.gpus + RESOURCE_EPSILON
 
     private companion object {
         const val RESOURCE_EPSILON = 1e-6
--- a/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/SnapshotBuilder.kt
@@ -95,7 +95,7 @@
 
     private fun machine(machine: Machine, history: MoveHistory, now: Long): MachineSnapshot {
         examinedItems += 1 + machine.attempts.size
-        val used = Resources(machine.usedCores, machine.usedMemory, machine.usedCards)
+        val used = Resources(machine.usedCores, machine.usedMemory, machine.usedGpus)
         return MachineSnapshot(
             id = machine.id,
             type = machine.type.name,
--- a/src/main/kotlin/io/otterknot/rebalance/UnfinishedJob.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/UnfinishedJob.kt
@@ -18,7 +18,7 @@
             val spec = job.spec ?: return null
             if (job.terminalState != null || !job.isReady) return null
             val tasks = spec.tasks - job.completedTasks.cardinality()
-            val amount = QuotaAmount(tasks * spec.cores, tasks * spec.cards)
+            val amount = QuotaAmount(tasks * spec.cores, tasks * spec.gpus)
             val priority = minOf(spec.priority, job.dependencies.inheritedPriority ?: spec.priority)
             return UnfinishedJob(job.id, spec.team, priority, job.record?.submittedMs ?: 0, amount)
         }
--- a/src/main/kotlin/io/otterknot/records/PartitionLoadRecord.kt
+++ b/src/main/kotlin/io/otterknot/records/PartitionLoadRecord.kt
@@ -14,7 +14,7 @@
     @SerialName("c") val cores: Double = 0.0,
     @SerialName("om") val ordinaryMeanLoad: Double = 0.0,
     @SerialName("oc") val ordinaryCores: Double = 0.0,
-    /** By team: cores and cards that waiting tasks need beyond the partition's quota share. */
+    /** By team: cores and GPUs that waiting tasks need beyond the partition's quota share. */
     @SerialName("n") val quotaNeeds: Map<String, QuotaAmount> = emptyMap(),
     /** What load spread needs to know; null where that is off, or the leader is of a version before it. */
     @SerialName("l") val pressure: PressureRecord? = null,
@@ -26,8 +26,8 @@
     @SerialName("t") val teams: Map<String, TeamPressureRecord> = emptyMap(),
     /** The memory of its machines. */
     @SerialName("m") val memoryGb: Double = 0.0,
-    /** The cards of its machines. */
-    @SerialName("g") val cards: Double = 0.0,
+    /** The GPUs of its machines. */
+    @SerialName("g") val gpus: Double = 0.0,
     /** How long tasks run there on average, in seconds; null: not known yet. */
     @SerialName("r") val meanRunS: Double? = null,
     /** Images that many of its machines have. */
@@ -41,7 +41,7 @@
 data class TeamPressureRecord(
     @SerialName("c") val cores: Double = 0.0,
     @SerialName("m") val memoryGb: Double = 0.0,
-    @SerialName("g") val cards: Double = 0.0,
+    @SerialName("g") val gpus: Double = 0.0,
     @SerialName("w") val waitingCores: Double = 0.0,
     /** Since when its oldest waiting task could run, by the time of day in milliseconds; null: nothing waits. */
     @SerialName("o") val oldestReadyMs: Long? = null,
--- a/src/main/kotlin/io/otterknot/records/QuotaSharesRecord.kt
+++ b/src/main/kotlin/io/otterknot/records/QuotaSharesRecord.kt
@@ -3,11 +3,11 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Cores and cards (GPUs) of a quota. */
+/** Cores and GPUs of a quota. */
 @Serializable
-data class QuotaAmount(@SerialName("c") val cores: Double = 0.0, @SerialName("g") val cards: Double = 0.0) {
-    operator fun plus(other: QuotaAmount) = QuotaAmount(cores + other.cores, cards + other.cards)
-    operator fun minus(other: QuotaAmount) = QuotaAmount(cores - other.cores, cards - other.cards)
+data class QuotaAmount(@SerialName("c") val cores: Double = 0.0, @SerialName("g") val gpus: Double = 0.0) {
+    operator fun plus(other: QuotaAmount) = QuotaAmount(cores + other.cores, gpus + other.gpus)
+    operator fun minus(other: QuotaAmount) = QuotaAmount(cores - other.cores, gpus - other.gpus)
 }
 
 /**
@@ -19,7 +19,7 @@
     /** Throws [IllegalArgumentException] if [amount] is more than the share of [from]. */
     fun transferred(from: String, to: String, amount: QuotaAmount): QuotaSharesRecord {
         val remaining = byZone.getValue(from) - amount
-        require(remaining.cores >= 0 && remaining.cards >= 0) { "$amount is more than the quota share of zone $from" }
+        require(remaining.cores >= 0 && remaining.gpus >= 0) { "$amount is more than the quota share of zone $from" }
         return QuotaSharesRecord(byZone + (from to remaining) + (to to (byZone[to] ?: QuotaAmount()) + amount))
     }
 
@@ -28,9 +28,9 @@
         const val UNLIMITED = 1e12
 
         /** Equal shares, which hold until something has been transferred. */
-        fun even(zones: List<String>, maxCores: Double, maxCards: Double): QuotaSharesRecord {
+        fun even(zones: List<String>, maxCores: Double, maxGpus: Double): QuotaSharesRecord {
             fun share(max: Double) = if (max > 0) max / zones.size else UNLIMITED
-            return QuotaSharesRecord(zones.associateWith { QuotaAmount(share(maxCores), share(maxCards)) })
+            return QuotaSharesRecord(zones.associateWith { QuotaAmount(share(maxCores), share(maxGpus)) })
         }
     }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/Machine.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Machine.kt
@@ -92,7 +92,7 @@
         private set
     var usedMemory = 0.0
         private set
-    var usedCards = 0.0
+    var usedGpus = 0.0
         private set
 
     /** What tasks that are being stopped here will free. */
@@ -224,13 +224,13 @@
     /** Books room for a task of [spec]. */
     fun book(spec: JobSpec) {
         usedCores += spec.cores
-        usedCards += spec.cards
+        usedGpus += spec.gpus
         usedMemory += spec.memoryGb
     }
 
     fun unbook(spec: JobSpec) {
         usedCores -= spec.cores
-        usedCards -= spec.cards
+        usedGpus -= spec.gpus
         usedMemory -= spec.memoryGb
     }
 
@@ -242,20 +242,20 @@
 
     fun hasRoomFor(spec: JobSpec): Boolean = usedCores + spec.cores <= type.cores + EPSILON &&
         usedMemory + spec.memoryGb <= type.memoryGb + EPSILON &&
-        usedCards + spec.cards <= type.cards + EPSILON
+        usedGpus + spec.gpus <= type.gpus + EPSILON
 
     /** A task fits now, without the room that is reserved for tasks of a higher priority. */
     fun hasUnreservedRoomFor(spec: JobSpec): Boolean {
         if (!hasRoomFor(spec)) return false
         var cores = usedCores - beingFreed.cores + spec.cores
         var memory = usedMemory - beingFreed.memoryGb + spec.memoryGb
-        var cards = usedCards - beingFreed.cards + spec.cards
+        var gpus = usedGpus - beingFreed.gpus + spec.gpus
         for (higher in 0 until spec.priority.ordinal) {
             cores += reservedFor[higher].cores
             memory += reservedFor[higher].memoryGb
-            cards += reservedFor[higher].cards
+            gpus += reservedFor[higher].gpus
         }
-        return cores <= type.cores + EPSILON && memory <= type.memoryGb + EPSILON && cards <= type.cards + EPSILON
+        return cores <= type.cores + EPSILON && memory <= type.memoryGb + EPSILON && gpus <= type.gpus + EPSILON
     }
 
     /** What is free or being freed and not reserved for tasks of [priority] or a higher one. */
@@ -263,7 +263,7 @@
         val room = MutableResources(
             type.cores - usedCores + beingFreed.cores,
             type.memoryGb - usedMemory + beingFreed.memoryGb,
-            type.cards - usedCards + beingFreed.cards,
+            type.gpus - usedGpus + beingFreed.gpus,
         )
         for (level in 0..priority.ordinal) room.subtract(reservedFor[level])
         return room
@@ -271,16 +271,16 @@
 
     /** The booked share of the scarcest resource. */
     fun bookedShare(): Double =
-        maxOf(ratio(usedCores, type.cores), ratio(usedMemory, type.memoryGb), ratio(usedCards, type.cards))
+        maxOf(ratio(usedCores, type.cores), ratio(usedMemory, type.memoryGb), ratio(usedGpus, type.gpus))
 
     /** The share of the machine that a task of [spec] takes, of whichever resource it takes most of. */
     fun share(spec: JobSpec): Double =
-        maxOf(ratio(spec.cores, type.cores), ratio(spec.memoryGb, type.memoryGb), ratio(spec.cards, type.cards))
+        maxOf(ratio(spec.cores, type.cores), ratio(spec.memoryGb, type.memoryGb), ratio(spec.gpus, type.gpus))
 
     private fun ratio(part: Double, whole: Double) = if (whole > 0) part / whole else 0.0
 
     companion object {
-        /** How far sums of cores, GB or cards may be off by rounding. */
+        /** How far sums of cores, GB or GPUs may be off by rounding. */
         const val EPSILON = 1e-6
         private const val AVOID_JOB_MS = 15_000L
 
--- a/src/main/kotlin/io/otterknot/scheduling/MutableResources.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/MutableResources.kt
@@ -3,49 +3,49 @@
 import io.otterknot.wire.JobSpec
 
 /**
- * Cores, memory and cards that are counted up and down in place: the scheduler does so for each task that it looks at.
+ * Cores, memory and GPUs that are counted up and down in place: the scheduler does so for each task that it looks at.
  */
-class MutableResources(cores: Double = 0.0, memoryGb: Double = 0.0, cards: Double = 0.0) {
+class MutableResources(cores: Double = 0.0, memoryGb: Double = 0.0, gpus: Double = 0.0) {
     var cores = cores
         private set
     var memoryGb = memoryGb
         private set
-    var cards = cards
+    var gpus = gpus
         private set
 
     /** Whether a task of [spec] fits. */
     fun covers(spec: JobSpec): Boolean = spec.cores <= cores + Machine.EPSILON &&
         spec.memoryGb <= memoryGb + Machine.EPSILON &&
-        spec.cards <= cards + Machine.EPSILON
+        spec.gpus <= gpus + Machine.EPSILON
 
     fun add(spec: JobSpec) {
         cores += spec.cores
         memoryGb += spec.memoryGb
-        cards += spec.cards
+        gpus += spec.gpus
     }
 
     fun subtract(spec: JobSpec) {
         cores -= spec.cores
         memoryGb -= spec.memoryGb
-        cards -= spec.cards
+        gpus -= spec.gpus
     }
 
     fun subtract(other: MutableResources) {
         cores -= other.cores
         memoryGb -= other.memoryGb
-        cards -= other.cards
+        gpus -= other.gpus
     }
 
     /** Subtracts a task of [spec], stopping at zero. */
     fun subtractDownToZero(spec: JobSpec) {
         cores = maxOf(0.0, cores - spec.cores)
         memoryGb = maxOf(0.0, memoryGb - spec.memoryGb)
-        cards = maxOf(0.0, cards - spec.cards)
+        gpus = maxOf(0.0, gpus - spec.gpus)
     }
 
     fun clear() {
         cores = 0.0
         memoryGb = 0.0
-        cards = 0.0
+        gpus = 0.0
     }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
@@ -47,7 +47,7 @@
         }
 
         private fun asksForNoLess(spec: JobSpec, other: JobSpec): Boolean {
-            val takesAsMuch = other.cores <= spec.cores && other.memoryGb <= spec.memoryGb && other.cards <= spec.cards
+            val takesAsMuch = other.cores <= spec.cores && other.memoryGb <= spec.memoryGb && other.gpus <= spec.gpus
             return takesAsMuch && other.spot == spec.spot && other.types == spec.types
         }
 
--- a/src/main/kotlin/io/otterknot/scheduling/Resources.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Resources.kt
@@ -3,21 +3,20 @@
 import io.otterknot.wire.JobSpec
 import io.otterknot.wire.MachineType
 
-/** Cores, memory and cards: what tasks take, machines have, or teams use. */
-data class Resources(val cores: Double = 0.0, val memoryGb: Double = 0.0, val cards: Double = 0.0) {
-    operator fun plus(other: Resources) = Resources(cores + other.cores, memoryGb + other.memoryGb, cards + other.cards)
+/** Cores, memory and GPUs: what tasks take, machines have, or teams use. */
+data class Resources(val cores: Double = 0.0, val memoryGb: Double = 0.0, val gpus: Double = 0.0) {
+    operator fun plus(other: Resources) = Resources(cores + other.cores, memoryGb + other.memoryGb, gpus + other.gpus)
 
-    operator fun minus(other: Resources) =
-        Resources(cores - other.cores, memoryGb - other.memoryGb, cards - other.cards)
+    operator fun minus(other: Resources) = Resources(cores - other.cores, memoryGb - other.memoryGb, gpus - other.gpus)
 
-    operator fun times(factor: Double) = Resources(cores * factor, memoryGb * factor, cards * factor)
+    operator fun times(factor: Double) = Resources(cores * factor, memoryGb * factor, gpus * factor)
 
     fun covers(other: Resources): Boolean = other.cores <= cores + Machine.EPSILON &&
-        other.memoryGb <= memoryGb + Machine.EPSILON && other.cards <= cards + Machine.EPSILON
+        other.memoryGb <= memoryGb + Machine.EPSILON && other.gpus <= gpus + Machine.EPSILON
 
     /** The share of [total] of whichever of the three this takes most of; what there is none of does not count. */
     fun dominantShare(total: Resources): Double =
-        maxOf(share(cores, total.cores), share(memoryGb, total.memoryGb), share(cards, total.cards))
+        maxOf(share(cores, total.cores), share(memoryGb, total.memoryGb), share(gpus, total.gpus))
 
     private fun share(part: Double, whole: Double) = if (whole > 0) part / whole else 0.0
 
@@ -25,9 +24,9 @@
         val NONE = Resources()
 
         /** What one task takes. */
-        fun of(spec: JobSpec) = Resources(spec.cores, spec.memoryGb, spec.cards)
+        fun of(spec: JobSpec) = Resources(spec.cores, spec.memoryGb, spec.gpus)
 
         /** What a machine has. */
-        fun of(type: MachineType) = Resources(type.cores, type.memoryGb, type.cards)
+        fun of(type: MachineType) = Resources(type.cores, type.memoryGb, type.gpus)
     }
 }
--- a/src/main/kotlin/io/otterknot/wire/CloudMessages.kt
+++ b/src/main/kotlin/io/otterknot/wire/CloudMessages.kt
@@ -8,8 +8,7 @@
 data class MachineType(
     @SerialName("Name") val name: String,
     @SerialName("Cores") val cores: Double,
-    /** Number of GPUs. */
-    @SerialName("Cards") val cards: Double = 0.0,
+    @SerialName("Cards") val gpus: Double = 0.0,
     @SerialName("MemoryGb") val memoryGb: Double,
     /** Size of the disk that caches images. */
     @SerialName("LocalGb") val cacheGb: Double = 0.0,
--- a/src/main/kotlin/io/otterknot/wire/JobSpec.kt
+++ b/src/main/kotlin/io/otterknot/wire/JobSpec.kt
@@ -36,8 +36,7 @@
     @SerialName("Chores") val tasks: Int,
     /** CPU cores of one task; the other amounts are also per task. */
     @SerialName("Cores") val cores: Double,
-    /** GPUs of one task. */
-    @SerialName("Cards") val cards: Double = 0.0,
+    @SerialName("Cards") val gpus: Double = 0.0,
     @SerialName("MemoryGb") val memoryGb: Double,
     /** Name of the image that a machine must have fetched before a task can start. */
     @SerialName("Pelt") val image: String,
--- a/src/main/kotlin/io/otterknot/wire/JobSubmission.kt
+++ b/src/main/kotlin/io/otterknot/wire/JobSubmission.kt
@@ -27,7 +27,7 @@
         priority = readPriority(fields),
         tasks = fields.count("Chores", 1, MAX_TASKS),
         cores = fields.amount("Cores"),
-        cards = fields.amount("Cards"),
+        gpus = fields.amount("Cards"),
         memoryGb = fields.amount("MemoryGb"),
         image = fields.text("Pelt"),
         imageGb = fields.amount("SizeGb"),
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
@@ -54,9 +54,9 @@
             team: String,
             at: Long,
             cores: Double,
-            cards: Double = 0.0,
+            gpus: Double = 0.0,
             priority: Priority = Priority.NORMAL,
-        ) = UnfinishedJob(id, team, priority, at, QuotaAmount(cores, cards))
+        ) = UnfinishedJob(id, team, priority, at, QuotaAmount(cores, gpus))
         val jobs = listOf(
             job("late", "red", 30, 1.0),
             job("first", "red", 10, 6.0),
@@ -67,7 +67,7 @@
         assertEquals(setOf("first"), cover.covered(jobs + job("early", "red", 15, 8.0)))
         val urgent = job("urgent", "red", 40, 5.0, priority = Priority.HIGH)
         assertEquals(setOf("urgent"), cover.covered(jobs + urgent), "the team's own most urgent work comes first")
-        assertEquals(emptySet<String>(), cover.covered(listOf(job("card", "red", 1, 1.0, cards = 1.0))))
+        assertEquals(emptySet<String>(), cover.covered(listOf(job("card", "red", 1, 1.0, gpus = 1.0))))
     }
 
     @ParameterizedTest
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -167,7 +167,7 @@
     fun `the protocol's submission is read into these values`() {
         val expected = JobSpec(
             id = "j-000412", jobClass = "train", team = "vision", priority = Priority.HIGH, tasks = 16, cores = 8.0,
-            cards = 1.0, memoryGb = 64.0, image = "img-07", imageGb = 6.2, types = listOf("g8"), zone = null,
+            gpus = 1.0, memoryGb = 64.0, image = "img-07", imageGb = 6.2, types = listOf("g8"), zone = null,
             sameZone = true, spreadAcrossZones = false, spot = true, estimateS = 240.0, checkpointS = 30.0, saveS = 4.0,
             dueS = 900.0, dependencies = null,
         )
@@ -707,7 +707,7 @@
 
         private val SPEC = JobSpec(
             id = "j-000412", jobClass = "train", team = "vision", priority = Priority.HIGH, tasks = 16, cores = 8.0,
-            cards = 1.0, memoryGb = 64.0, image = "img-07", imageGb = 6.2, types = listOf("g8"), zone = "a",
+            gpus = 1.0, memoryGb = 64.0, image = "img-07", imageGb = 6.2, types = listOf("g8"), zone = "a",
             sameZone = true, spreadAcrossZones = false, spot = true, estimateS = 240.0, checkpointS = 30.0, saveS = 4.0,
             dueS = 900.0, dependencies = listOf("j-7", "j-8"),
         )
@@ -719,7 +719,7 @@
                 """"Awaits":["j-7","j-8"]}"""
 
         private val TYPE = MachineType(
-            name = "g8", cores = 96.0, cards = 8.0, memoryGb = 768.0, cacheGb = 200.0, fetchGbPerS = 1.0, price = 12.0,
+            name = "g8", cores = 96.0, gpus = 8.0, memoryGb = 768.0, cacheGb = 200.0, fetchGbPerS = 1.0, price = 12.0,
             spotPrice = 4.5, bootS = 45.0, zones = listOf("a", "b"),
         )
 
@@ -963,7 +963,7 @@
                     cores = 64.0,
                     ordinaryMeanLoad = 0.25,
                     ordinaryCores = 16.0,
-                    quotaNeeds = mapOf("red" to QuotaAmount(cores = 3.0, cards = 1.0)),
+                    quotaNeeds = mapOf("red" to QuotaAmount(cores = 3.0, gpus = 1.0)),
                     pressure = null,
                 ),
                 """{"m":0.5,"c":64.0,"om":0.25,"oc":16.0,"n":{"red":{"c":3.0,"g":1.0}}}""",
@@ -982,13 +982,13 @@
                             "red" to TeamPressureRecord(
                                 cores = 1.0,
                                 memoryGb = 2.0,
-                                cards = 3.0,
+                                gpus = 3.0,
                                 waitingCores = 4.0,
                                 oldestReadyMs = 5,
                             ),
                         ),
                         memoryGb = 6.0,
-                        cards = 7.0,
+                        gpus = 7.0,
                         meanRunS = 8.0,
                         images = listOf("img-07"),
                         fetchFactor = 9.0,
