--- a/src/main/kotlin/io/otterknot/rebalance/ClusterPressure.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/ClusterPressure.kt
@@ -35,7 +35,7 @@
     private fun demand(team: String, entitlement: TeamEntitlement): TeamDemand {
         val waiting = partitions.values.sumOf { it.teams?.get(team)?.waitingCores ?: 0.0 }
         val demand = (used(team) + Resources(cores = waiting)).dominantShare(capacity)
-        val guaranteed = Resources(cores = entitlement.guaranteedCores, cards = entitlement.guaranteedCards)
+        val guaranteed = Resources(cores = entitlement.guaranteedCores, gpus = entitlement.guaranteedGpus)
         return TeamDemand(team, demand, guaranteed.dominantShare(capacity), entitlement.weight)
     }
 
--- a/src/main/kotlin/io/otterknot/rebalance/QuotaCoverage.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/QuotaCoverage.kt
@@ -32,7 +32,7 @@
     }
 
     private fun fits(used: QuotaAmount, guarantee: TeamSettings): Boolean =
-        used.cores <= guarantee.cpus + RESOURCE_EPSILON && used.cards <= guarantee.gpus + RESOURCE_EPSILON
+        used.cores <= guarantee.cpus + RESOURCE_EPSILON && used.gpus <= guarantee.gpus + RESOURCE_EPSILON
 
     private companion object {
         const val RESOURCE_EPSILON = 1e-6
--- a/src/main/kotlin/io/otterknot/scheduling/Machine.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Machine.kt
@@ -108,7 +108,7 @@
         private set
     var usedMemory = 0.0
         private set
-    var usedCards = 0.0
+    var usedGpus = 0.0
         private set
 
     /** The resources that will be freed by attempts being stopped on this machine. */
@@ -249,13 +249,13 @@
     /** Books the resources of a task of [spec]. */
     fun book(spec: JobSpec) {
         usedCores += spec.cores
-        usedCards += spec.cards
+        usedGpus += spec.gpus
         usedMemory += spec.memoryGb
     }
 
     fun unbook(spec: JobSpec) {
         usedCores -= spec.cores
-        usedCards -= spec.cards
+        usedGpus -= spec.gpus
         usedMemory -= spec.memoryGb
     }
 
@@ -267,7 +267,7 @@
 
     fun canFit(spec: JobSpec): Boolean = usedCores + spec.cores <= type.cores + EPSILON &&
         usedMemory + spec.memoryGb <= type.memoryGb + EPSILON &&
-        usedCards + spec.cards <= type.cards + EPSILON
+        usedGpus + spec.gpus <= type.gpus + EPSILON
 
     /**
      * Whether a task of [spec] fits now without taking capacity reserved for tasks of a higher priority. Resources that
@@ -277,13 +277,13 @@
         if (!canFit(spec)) return false
         var cores = usedCores - beingFreed.cores + spec.cores
         var memory = usedMemory - beingFreed.memoryGb + spec.memoryGb
-        var cards = usedCards - beingFreed.cards + spec.cards
+        var gpus = usedGpus - beingFreed.gpus + spec.gpus
         for (higher in 0 until spec.priority.ordinal) {
             cores += reservedFor[higher].cores
             memory += reservedFor[higher].memoryGb
-            cards += reservedFor[higher].cards
+            gpus += reservedFor[higher].gpus
         }
-        return cores <= type.cores + EPSILON && memory <= type.memoryGb + EPSILON && cards <= type.cards + EPSILON
+        return cores <= type.cores + EPSILON && memory <= type.memoryGb + EPSILON && gpus <= type.gpus + EPSILON
     }
 
     /** Returns the resources that are free or being freed and not reserved for tasks of [priority] or a higher one. */
@@ -291,7 +291,7 @@
         val capacity = MutableResources(
             type.cores - usedCores + beingFreed.cores,
             type.memoryGb - usedMemory + beingFreed.memoryGb,
-            type.cards - usedCards + beingFreed.cards,
+            type.gpus - usedGpus + beingFreed.gpus,
         )
         for (level in 0..priority.ordinal) capacity.subtract(reservedFor[level])
         return capacity
@@ -299,11 +299,11 @@
 
     /** Returns the booked fraction of the most heavily booked resource. */
     fun bookedShare(): Double =
-        maxOf(ratio(usedCores, type.cores), ratio(usedMemory, type.memoryGb), ratio(usedCards, type.cards))
+        maxOf(ratio(usedCores, type.cores), ratio(usedMemory, type.memoryGb), ratio(usedGpus, type.gpus))
 
     /** Returns the dominant share of a task of [spec]: the largest fraction that it takes of any resource. */
     fun share(spec: JobSpec): Double =
-        maxOf(ratio(spec.cores, type.cores), ratio(spec.memoryGb, type.memoryGb), ratio(spec.cards, type.cards))
+        maxOf(ratio(spec.cores, type.cores), ratio(spec.memoryGb, type.memoryGb), ratio(spec.gpus, type.gpus))
 
     private fun ratio(part: Double, total: Double) = if (total > 0) part / total else 0.0
 
--- a/src/main/kotlin/io/otterknot/scheduling/MutableResources.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/MutableResources.kt
@@ -6,47 +6,47 @@
  * Cores, memory and GPUs. They are modified in place because the scheduler adds and subtracts for each task it
  * considers.
  */
-class MutableResources(cores: Double = 0.0, memoryGb: Double = 0.0, cards: Double = 0.0) {
+class MutableResources(cores: Double = 0.0, memoryGb: Double = 0.0, gpus: Double = 0.0) {
     var cores = cores
         private set
     var memoryGb = memoryGb
         private set
-    var cards = cards
+    var gpus = gpus
         private set
 
     /** Whether a task of [spec] fits. */
     fun covers(spec: JobSpec): Boolean = spec.cores <= cores + Machine.EPSILON &&
         spec.memoryGb <= memoryGb + Machine.EPSILON &&
-        spec.cards <= cards + Machine.EPSILON
+        spec.gpus <= gpus + Machine.EPSILON
 
     fun add(spec: JobSpec) {
         cores += spec.cores
         memoryGb += spec.memoryGb
-        cards += spec.cards
+        gpus += spec.gpus
     }
 
     fun subtract(spec: JobSpec) {
         cores -= spec.cores
         memoryGb -= spec.memoryGb
-        cards -= spec.cards
+        gpus -= spec.gpus
     }
 
     fun subtract(other: MutableResources) {
         cores -= other.cores
         memoryGb -= other.memoryGb
-        cards -= other.cards
+        gpus -= other.gpus
     }
 
     /** Subtracts the resources of a task of [spec]; no amount falls below zero. */
     fun subtractDownToZero(spec: JobSpec) {
         cores = maxOf(0.0, cores - spec.cores)
         memoryGb = maxOf(0.0, memoryGb - spec.memoryGb)
-        cards = maxOf(0.0, cards - spec.cards)
+        gpus = maxOf(0.0, gpus - spec.gpus)
     }
 
     fun clear() {
         cores = 0.0
         memoryGb = 0.0
-        cards = 0.0
+        gpus = 0.0
     }
 }
--- a/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Preemptor.kt
@@ -51,7 +51,7 @@
         }
 
         private fun requiresAtLeast(spec: JobSpec, other: JobSpec): Boolean {
-            val needsAsMuch = other.cores <= spec.cores && other.memoryGb <= spec.memoryGb && other.cards <= spec.cards
+            val needsAsMuch = other.cores <= spec.cores && other.memoryGb <= spec.memoryGb && other.gpus <= spec.gpus
             return needsAsMuch && other.spot == spec.spot && other.types == spec.types
         }
 
--- a/src/main/kotlin/io/otterknot/scheduling/Resources.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Resources.kt
@@ -4,20 +4,19 @@
 import io.otterknot.wire.MachineType
 
 /** An amount of cores, memory and GPUs: requested by a task, provided by a machine, or used by a team. */
-data class Resources(val cores: Double = 0.0, val memoryGb: Double = 0.0, val cards: Double = 0.0) {
-    operator fun plus(other: Resources) = Resources(cores + other.cores, memoryGb + other.memoryGb, cards + other.cards)
+data class Resources(val cores: Double = 0.0, val memoryGb: Double = 0.0, val gpus: Double = 0.0) {
+    operator fun plus(other: Resources) = Resources(cores + other.cores, memoryGb + other.memoryGb, gpus + other.gpus)
 
-    operator fun minus(other: Resources) =
-        Resources(cores - other.cores, memoryGb - other.memoryGb, cards - other.cards)
+    operator fun minus(other: Resources) = Resources(cores - other.cores, memoryGb - other.memoryGb, gpus - other.gpus)
 
-    operator fun times(factor: Double) = Resources(cores * factor, memoryGb * factor, cards * factor)
+    operator fun times(factor: Double) = Resources(cores * factor, memoryGb * factor, gpus * factor)
 
     fun covers(other: Resources): Boolean = other.cores <= cores + Machine.EPSILON &&
-        other.memoryGb <= memoryGb + Machine.EPSILON && other.cards <= cards + Machine.EPSILON
+        other.memoryGb <= memoryGb + Machine.EPSILON && other.gpus <= gpus + Machine.EPSILON
 
     /** Returns the largest fraction of the three resources of [total] that this takes; a total of zero is ignored. */
     fun dominantShare(total: Resources): Double =
-        maxOf(share(cores, total.cores), share(memoryGb, total.memoryGb), share(cards, total.cards))
+        maxOf(share(cores, total.cores), share(memoryGb, total.memoryGb), share(gpus, total.gpus))
 
     private fun share(part: Double, total: Double) = if (total > 0) part / total else 0.0
 
@@ -25,9 +24,9 @@
         val NONE = Resources()
 
         /** Returns the resources that one task of [spec] requests. */
-        fun of(spec: JobSpec) = Resources(spec.cores, spec.memoryGb, spec.cards)
+        fun of(spec: JobSpec) = Resources(spec.cores, spec.memoryGb, spec.gpus)
 
         /** Returns the resources of a machine of [type]. */
-        fun of(type: MachineType) = Resources(type.cores, type.memoryGb, type.cards)
+        fun of(type: MachineType) = Resources(type.cores, type.memoryGb, type.gpus)
     }
 }
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
@@ -54,9 +54,9 @@
             team: String,
             at: Long,
             cores: Double,
-            cards: Double = 0.0,
+            gpus: Double = 0.0,
             priority: Priority = Priority.NORMAL,
-        ) = UnfinishedJob(id, team, priority, at, QuotaAmount(cores, cards))
+        ) = UnfinishedJob(id, team, priority, at, QuotaAmount(cores, gpus))
         val jobs = listOf(
             job("late", "red", 30, 1.0),
             job("first", "red", 10, 6.0),
@@ -71,7 +71,7 @@
             cover.withinGuarantee(jobs + urgent),
             "the most urgent job uses the guarantee first",
         )
-        assertEquals(emptySet<String>(), cover.withinGuarantee(listOf(job("card", "red", 1, 1.0, cards = 1.0))))
+        assertEquals(emptySet<String>(), cover.withinGuarantee(listOf(job("card", "red", 1, 1.0, gpus = 1.0))))
     }
 
     @ParameterizedTest
