--- a/src/main/kotlin/io/otterknot/http/HttpClient.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpClient.kt
@@ -17,7 +17,7 @@
     override suspend fun call(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
         var connection: TcpConnection? = null
         var isReusable = false
-        @Suppress("TooGenericExceptionCaught") // every failure means the same to the caller: no response
+        @Suppress("TooGenericExceptionCaught") // every failure means to the caller that there is no response
         try {
             return withTimeout(timeoutMs) {
                 val used = takeIdle() ?: TcpConnection.open(loop, address)
@@ -28,7 +28,7 @@
                 exchange.reply
             }
         } catch (ignored: TimeoutCancellationException) {
-            return Reply.None("no answer within $timeoutMs ms")
+            return Reply.None("no HTTP response within $timeoutMs ms")
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
@@ -38,7 +38,10 @@
         }
     }
 
-    /** A kept connection; those that the server has closed meanwhile are dropped, as they would lose the request. */
+    /**
+     * Returns an idle connection that can carry a request, or null if there is none. Idle connections that the server
+     * has closed meanwhile are closed and skipped, because a request sent on them would be lost.
+     */
     private fun takeIdle(): TcpConnection? {
         while (true) {
             val connection = idle.removeFirstOrNull() ?: return null
@@ -60,11 +63,16 @@
     }
 
     private suspend fun receive(connection: TcpConnection): Exchange {
-        val head = HttpHead.receive(connection) ?: return failed("connection closed")
-        val status = head.startLine.getOrNull(1)?.toIntOrNull() ?: return failed("not HTTP")
+        val head =
+            HttpHead.receive(connection) ?: return failed("connection closed before the end of the response head")
+        val status =
+            head.startLine.getOrNull(1)?.toIntOrNull()
+                ?: return failed("no status code in the first line of the response")
         val bodyBytes = head["Content-Length"]?.toIntOrNull()
-        if (bodyBytes == null || bodyBytes > MAX_BODY_BYTES) return failed("answer without a usable length")
-        if (!connection.receive(bodyBytes.toLong())) return failed("connection closed")
+        if (bodyBytes == null || bodyBytes > MAX_BODY_BYTES) {
+            return failed("response Content-Length must be 0 to $MAX_BODY_BYTES, not ${head["Content-Length"]}")
+        }
+        if (!connection.receive(bodyBytes.toLong())) return failed("connection closed within the response body")
         val body = connection.input.readByteArray(bodyBytes.toLong())
         return Exchange(Reply.Answer(status, body), !head.closesConnection)
     }
@@ -72,7 +80,7 @@
     private fun failed(reason: String) = Exchange(Reply.None(reason), isReusable = false)
 
     private companion object {
-        /** A larger response counts as none; pages of the key-value store have 512 KiB. */
+        /** A response with a larger body is treated as no response; pages of the key-value store have 512 KiB. */
         const val MAX_BODY_BYTES = 16 * 1024 * 1024
         const val TYPICAL_HEAD_CHARS = 128
     }
--- a/src/main/kotlin/io/otterknot/http/HttpHead.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpHead.kt
@@ -3,15 +3,18 @@
 import io.otterknot.net.TcpConnection
 import okio.Buffer
 
-/** A message that is not HTTP; the text goes back to its sender. */
+/**
+ * A malformed HTTP message. [HttpServer] returns the exception's text to the client; [HttpClient] reports it as the
+ * reason why there is no response.
+ */
 internal class MalformedHttpException(message: String) : Exception(message, null, false, false)
 
 /**
- * The head of an HTTP message: its first line, cut at spaces, and its header fields.
+ * The head of an HTTP message: its first line, split at spaces into at most three parts, and its header fields.
  *
- * It is read by this class and not by Ktor's parser, since the JVM's client compiler gives up on that ("block join
- * failed" on `parseRequest` and `parseHeaders`): it would stay interpreted, at a fifth of a controller's
- * processor time in the first seconds after a start.
+ * Ktor's parser is not used, because the JVM's client compiler (C1) fails to compile its `parseRequest` and
+ * `parseHeaders` ("block join failed"). The parser would stay interpreted and use a fifth of a controller's processor
+ * time in the first seconds after a start.
  */
 internal class HttpHead private constructor(val startLine: List<String>, private val fields: List<Field>) {
     private class Field(val name: String, val value: String)
@@ -27,38 +30,40 @@
         private const val CARRIAGE_RETURN = '\r'.code.toByte()
         private const val MAX_HEAD_BYTES = 16_384L
 
-        /** How many bytes of a head's end may have arrived without its last byte. */
-        private const val END_BYTES_WITHOUT_LAST = 2
+        /** How many bytes of a head's end (LF, optional CR, LF) may have arrived before its last byte. */
+        private const val MAX_PARTIAL_END_BYTES = 2
         private const val START_LINE_PARTS = 3
 
         /**
-         * The next head on [connection]; null: the peer has closed it.
+         * Receives the next head on [connection]; returns null if the peer closes the connection before the head is
+         * complete.
          *
-         * @throws MalformedHttpException if it is longer than [MAX_HEAD_BYTES] or a header line has no name
+         * @throws MalformedHttpException if the head is longer than [MAX_HEAD_BYTES] or a header line has no name
          */
         suspend fun receive(connection: TcpConnection): HttpHead? {
             val input = connection.input
-            var searchedTo = 0L
+            var searchFrom = 0L
             while (true) {
-                if (searchedTo == 0L) skipEmptyLines(input)
-                val end = endOfHead(input, searchedTo)
+                if (searchFrom == 0L) skipEmptyLines(input)
+                val end = endOfHead(input, searchFrom)
                 if (end >= 0) return parse(input.readString(end, Charsets.ISO_8859_1))
-                if (input.size >
-                    MAX_HEAD_BYTES
-                ) {
-                    throw MalformedHttpException("the head has more than $MAX_HEAD_BYTES bytes")
+                if (input.size > MAX_HEAD_BYTES) {
+                    throw MalformedHttpException("the HTTP head is longer than the allowed $MAX_HEAD_BYTES bytes")
                 }
-                searchedTo = maxOf(0L, input.size - END_BYTES_WITHOUT_LAST)
+                searchFrom = maxOf(0L, input.size - MAX_PARTIAL_END_BYTES)
                 if (!connection.receive()) return null
             }
         }
 
-        /** Some clients send one line end too many after a body (RFC 9112, section 2.2). */
+        /** Skips empty lines before a head: some clients send one after a body (RFC 9112, section 2.2). */
         private fun skipEmptyLines(input: Buffer) {
             while (!input.exhausted() && (input[0] == CARRIAGE_RETURN || input[0] == LINE_FEED)) input.skip(1)
         }
 
-        /** Where the body begins: after a line feed that only a line end follows; -1: it has not arrived yet. */
+        /**
+         * Returns the index of the first byte after the empty line that ends the head, or -1 if that line has not
+         * arrived yet. The search for its preceding line feed begins at [from].
+         */
         private fun endOfHead(input: Buffer, from: Long): Long {
             var lineEnd = input.indexOf(LINE_FEED, from)
             while (lineEnd >= 0) {
@@ -77,18 +82,18 @@
             var from = startEnd + 1
             while (true) {
                 val lineEnd = text.indexOf('\n', from)
-                if (isBlank(text, from, lineEnd)) return HttpHead(startLine, fields)
-                fields.add(field(text, from, lineEnd))
+                if (isEmptyLine(text, from, lineEnd)) return HttpHead(startLine, fields)
+                fields.add(parseField(text, from, lineEnd))
                 from = lineEnd + 1
             }
         }
 
-        private fun isBlank(text: String, from: Int, lineEnd: Int): Boolean =
+        private fun isEmptyLine(text: String, from: Int, lineEnd: Int): Boolean =
             lineEnd == from || (lineEnd == from + 1 && text[from] == '\r')
 
-        private fun field(text: String, from: Int, until: Int): Field {
+        private fun parseField(text: String, from: Int, until: Int): Field {
             val colon = text.indexOf(':', from)
-            if (colon <= from || colon >= until) throw MalformedHttpException("a header line without a name")
+            if (colon <= from || colon >= until) throw MalformedHttpException("a header line must be NAME: VALUE")
             return Field(text.substring(from, colon), text.substring(colon + 1, until).trim())
         }
     }
--- a/src/main/kotlin/io/otterknot/http/HttpServer.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpServer.kt
@@ -12,11 +12,11 @@
 import java.io.IOException
 
 /**
- * An HTTP/1.1 server without pipelining: one coroutine for each connection, one request at a time. Beyond
- * [maxConnections] a new connection is closed at once.
+ * An HTTP/1.1 server without pipelining: each connection is served by a coroutine of its own, one request at a time.
+ * While [maxConnections] connections are open, a further one is closed as soon as it is accepted.
  *
- * Only the decoder of chunked bodies is Ktor's CIO engine's: the engine itself takes seconds to start on a twentieth of
- * a core.
+ * Of Ktor's CIO engine only the decoder of chunked bodies is used, because the engine takes seconds to start on a
+ * twentieth of a core.
  */
 class HttpServer(
     private val loop: EventLoop,
@@ -29,7 +29,7 @@
     private val reader = RequestReader(maxBodyBytes)
     private val connections = HashSet<ServerConnection>()
 
-    /** How many connections have been accepted since the start. */
+    /** How many connections have been accepted since the start, without those closed because of [maxConnections]. */
     var acceptedCount = 0
         private set
 
@@ -40,15 +40,15 @@
      */
     fun bind(address: HostPort): TcpListener = TcpListener.bind(loop, address)
 
-    /** Accepts and serves connections of [listener] until cancelled; their coroutines belong to [scope]. */
+    /** Accepts and serves connections of [listener] until cancelled; the connections' coroutines run in [scope]. */
     suspend fun serve(scope: CoroutineScope, listener: TcpListener) {
         scope.launch { enforceLimits() }
         while (true) {
             val socket = try {
                 listener.accept()
             } catch (e: IOException) {
-                // Out of file descriptors: some will come free. Without a pause the loop would use up the processor.
-                log.warn("cannot accept a connection: error={}", e.message)
+                // Out of file descriptors until some are closed. Retrying without a delay would use up the processor.
+                log.warn("error={} cannot accept a connection", e.message)
                 delay(ACCEPT_RETRY_MS)
                 continue
             }
@@ -63,7 +63,10 @@
         }
     }
 
-    /** One pass over all connections every few seconds costs less than a timer for each request. */
+    /**
+     * Checks all connections against [limits] every [ConnectionLimits.checkMs]. This costs less than a timer
+     * for each request.
+     */
     private suspend fun enforceLimits() {
         while (true) {
             delay(limits.checkMs)
@@ -73,7 +76,7 @@
     }
 
     private suspend fun serveRequests(connection: ServerConnection) {
-        @Suppress("TooGenericExceptionCaught") // one connection must not end the others; logged
+        @Suppress("TooGenericExceptionCaught") // the failure of one connection must not end the others; it is logged
         try {
             while (true) {
                 connection.awaitRequest()
@@ -87,8 +90,8 @@
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
-            // A client that goes away in the middle of a request is ordinary.
-            log.debug("connection ended: error={}", e.toString())
+            // Logged at debug level only: clients commonly disconnect in the middle of a request.
+            log.debug("error={} connection ended", e.toString())
         } finally {
             connections.remove(connection)
             connection.socket.close()
@@ -100,13 +103,13 @@
         is ReceivedRequest.Complete -> handle(received.request)
     }
 
-    @Suppress("TooGenericExceptionCaught") // a handler may fail in any way; logged, and the client is told
+    @Suppress("TooGenericExceptionCaught") // a handler may throw anything; it is logged, and the client gets status 500
     private suspend fun handle(request: HttpRequest): HttpResponse = try {
         handler(request)
     } catch (e: CancellationException) {
         throw e
     } catch (e: Exception) {
-        log.error("request failed: method={} path={}", request.method, request.path, e)
+        log.error("method={} path={} request failed", request.method, request.path, e)
         HttpResponse.refusal(HttpStatus.INTERNAL_SERVER_ERROR, "internal error")
     }
 
@@ -118,7 +121,7 @@
         response.allow?.let { head.append("\r\nAllow: ").append(it) }
         if (close) head.append("\r\nConnection: close")
         head.append("\r\n\r\n")
-        // One write, so that head and body leave in one packet.
+        // Head and body are sent in one write, so that they can leave in one packet.
         socket.send(head.toString().encodeToByteArray() + response.body)
     }
 
--- a/src/main/kotlin/io/otterknot/http/HttpStatus.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpStatus.kt
@@ -1,6 +1,6 @@
 package io.otterknot.http
 
-/** The status codes (RFC 9110, section 15) that this service sends or looks at. */
+/** The status codes (RFC 9110, section 15) that this service sends or checks for. */
 object HttpStatus {
     const val OK = 200
     const val CREATED = 201
@@ -16,7 +16,7 @@
     const val INTERNAL_SERVER_ERROR = 500
     const val SERVICE_UNAVAILABLE = 503
 
-    /** The phrase of a status line; a neutral one for a code that this service does not send. */
+    /** Returns the reason phrase for a status line, or "Status" for a code that this service does not send. */
     fun reasonPhrase(status: Int): String = when (status) {
         OK -> "OK"
         CREATED -> "Created"
--- a/src/main/kotlin/io/otterknot/http/Messages.kt
+++ b/src/main/kotlin/io/otterknot/http/Messages.kt
@@ -4,15 +4,19 @@
 import io.otterknot.wire.WireJson
 import kotlinx.serialization.KSerializer
 
-/** A request whose body has arrived whole; [query] is what follows [path], with its question mark. */
+/**
+ * A request with its complete body.
+ *
+ * @property query the part of the request target after [path], including the question mark; empty if there is none
+ */
 class HttpRequest(val method: String, val path: String, val body: ByteArray, val query: String = "")
 
 /**
  * A response with a JSON [body].
  *
- * @property retryAfterS seconds for `Retry-After`; null: the field is left out
- * @property allow the methods for `Allow`; null: the field is left out
- * @property close whether the connection is closed after it
+ * @property retryAfterS the `Retry-After` header in seconds, or null to leave it out
+ * @property allow the methods for the `Allow` header, or null to leave it out
+ * @property close whether the connection is closed after the response
  */
 class HttpResponse(
     val status: Int,
@@ -22,11 +26,14 @@
     val close: Boolean = false,
 ) {
     companion object {
-        /** A response with [value] as its body. */
+        /** Returns a response whose body is [value] as JSON. */
         fun <T> json(status: Int, serializer: KSerializer<T>, value: T) =
             HttpResponse(status, WireJson.encodeToString(serializer, value).encodeToByteArray())
 
-        /** A refusal with its [reason] in the body; one that may be retried says after how many seconds. */
+        /**
+         * Returns a refusal with its [reason] as JSON in the body. [retryAfterS] is set if the client may retry the
+         * request after that many seconds.
+         */
         fun refusal(
             status: Int,
             reason: String,
@@ -45,12 +52,16 @@
 
 /** The outcome of a request to another service. */
 sealed interface Reply {
-    /** A response arrived, whatever its [status]. */
+    /** A response arrived, successful or not. */
     class Answer(val status: Int, val body: ByteArray) : Reply {
         /** The body as UTF-8. */
         val text: String get() = body.decodeToString()
     }
 
-    /** No response: the request may have been carried out, may still be carried out later, or never. */
+    /**
+     * No response arrived: the request may have been carried out, may still be carried out later, or may never be.
+     *
+     * @property why the reason for the missing response
+     */
     class None(val why: String) : Reply
 }
--- a/src/main/kotlin/io/otterknot/http/RequestReader.kt
+++ b/src/main/kotlin/io/otterknot/http/RequestReader.kt
@@ -9,48 +9,60 @@
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.launch
 
-/** What arrived in place of the next request. */
+/** The result of reading the next request from a connection. */
 internal sealed interface ReceivedRequest {
     /** Whether the connection is closed after the response. */
     val closesConnection: Boolean
 
     class Complete(val request: HttpRequest, override val closesConnection: Boolean) : ReceivedRequest
 
-    /** Not a request, too large, or late; [response] says so. Where the next request begins is not known. */
+    /**
+     * A malformed, too large or late request, refused with [response]. The connection is closed after the response,
+     * because it is unknown where the next request begins.
+     */
     class Invalid(val response: HttpResponse) : ReceivedRequest {
         override val closesConnection = true
     }
 }
 
-/** Reads requests with bodies of up to [maxBodyBytes], with a Content-Length or chunked. */
+/** Reads requests whose body, sent with `Content-Length` or chunked, has at most [maxBodyBytes] bytes. */
 internal class RequestReader(private val maxBodyBytes: Int) {
-    /** The next request on [connection]; null: the client has closed it. */
+    /** Reads the next request on [connection]; returns null if the client has closed the connection. */
     suspend fun receive(connection: ServerConnection): ReceivedRequest? = try {
-        receiveInTime(connection)
+        receiveRequest(connection)
     } catch (e: MalformedHttpException) {
         invalid(HttpStatus.BAD_REQUEST, e.message.orEmpty())
-    } catch (e: LateRequestException) {
+    } catch (e: RequestTimeoutException) {
         invalid(HttpStatus.BAD_REQUEST, e.message.orEmpty())
     }
 
-    private suspend fun receiveInTime(connection: ServerConnection): ReceivedRequest? {
+    private suspend fun receiveRequest(connection: ServerConnection): ReceivedRequest? {
         val head = HttpHead.receive(connection.socket) ?: return null
         connection.headReceived()
         return when {
-            !isHttpRequest(head) -> invalid(HttpStatus.BAD_REQUEST, "not HTTP")
+            !isHttpRequest(head) -> invalid(HttpStatus.BAD_REQUEST, "the first line must be METHOD TARGET HTTP/1.x")
             head.isChunked -> receiveChunked(connection.socket, head)
             else -> receiveWithLength(connection.socket, head)
         }
     }
 
-    /** Reads a body of `Content-Length` bytes, none without that field; null: the client closed the connection. */
+    /**
+     * Reads a body of `Content-Length` bytes, or an empty one without that header. Returns null if the client closes
+     * the connection before the body is complete.
+     */
     private suspend fun receiveWithLength(socket: TcpConnection, head: HttpHead): ReceivedRequest? {
         val lengthField = head["Content-Length"] ?: return complete(head, EMPTY_BODY)
         val bodyBytes = lengthField.toLongOrNull()
         return when {
-            bodyBytes == null || bodyBytes < 0 -> invalid(HttpStatus.BAD_REQUEST, "bad Content-Length")
+            bodyBytes == null || bodyBytes < 0 -> invalid(
+                HttpStatus.BAD_REQUEST,
+                "Content-Length must be 0 to $maxBodyBytes, not $lengthField",
+            )
+
             bodyBytes > maxBodyBytes -> bodyTooLarge()
+
             !socket.receive(bodyBytes) -> null
+
             else -> complete(head, socket.input.readByteArray(bodyBytes))
         }
     }
@@ -59,8 +71,8 @@
         head.startLine.size >= REQUEST_LINE_PARTS && head.startLine.last().startsWith("HTTP/1.")
 
     /**
-     * Decodes a chunked body with Ktor's decoder. The decoder reads ahead, so what follows the body is lost with it and
-     * the connection is closed after the response.
+     * Decodes a chunked body with Ktor's decoder. The decoder may consume bytes beyond the end of the body; these are
+     * lost, so the connection is closed after the response.
      */
     private suspend fun receiveChunked(socket: TcpConnection, head: HttpHead): ReceivedRequest = coroutineScope {
         val encoded = ByteChannel(autoFlush = true)
--- a/src/main/kotlin/io/otterknot/http/ServerConnection.kt
+++ b/src/main/kotlin/io/otterknot/http/ServerConnection.kt
@@ -4,55 +4,61 @@
 import java.io.IOException
 
 /**
- * Bounds on how long a client may let its connection wait.
+ * Time limits for the clients of [HttpServer].
  *
  * @property idleMs how long a connection may stay open without a request, in milliseconds
- * @property requestMs how long a request may take to arrive whole once its first byte has been seen, in milliseconds
- * @property checkMs how often all connections are checked against the other two, in milliseconds
+ * @property requestMs how long a request may take to arrive completely after its first byte was seen, in milliseconds
+ * @property checkMs the interval at which all connections are checked against the other two limits, in milliseconds
  */
 class ConnectionLimits(val idleMs: Long = 180_000, val requestMs: Long = 10_000, val checkMs: Long = 5_000)
 
-/** The request did not arrive whole within [ConnectionLimits.requestMs]. */
-internal class LateRequestException : IOException("the request did not come whole in time")
+/** The request did not arrive completely within [ConnectionLimits.requestMs]. */
+internal class RequestTimeoutException : IOException("the request did not arrive completely within the request timeout")
 
-/** A connection of [HttpServer] together with how long its client has let it wait. */
+/** A connection of [HttpServer] and the times from which its [ConnectionLimits] are counted. */
 internal class ServerConnection(val socket: TcpConnection) {
     private var isAwaitingRequest = true
     private var hasHead = false
     private var idleSinceNs = System.nanoTime()
 
-    /** When the arriving request was first seen to have begun; null while nothing of it has arrived. */
-    private var requestSeenNs: Long? = null
+    /** When [enforce] first saw that the current request has begun, or null if it has not seen that yet. */
+    private var requestFirstSeenNs: Long? = null
 
     private val hasRequestBegun: Boolean get() = hasHead || !socket.input.exhausted()
 
-    /** The previous response has been sent; the next request may come. */
+    /** Starts the idle time; called before the next request is read. */
     fun awaitRequest() {
         idleSinceNs = System.nanoTime()
-        requestSeenNs = null
+        requestFirstSeenNs = null
         hasHead = false
         isAwaitingRequest = true
     }
 
-    /** The head of the request has arrived; a body may have to follow. */
+    /** Called when the head of the request has arrived; a body may follow. */
     fun headReceived() {
         hasHead = true
     }
 
-    /** The request is whole: from now on the client waits for the server, without bound. */
+    /**
+     * Called when the request is complete: from now until [awaitRequest] the client waits for the server, and no time
+     * limit applies.
+     */
     fun requestReceived() {
         isAwaitingRequest = false
     }
 
-    /** Closes the connection if it is idle for too long, and interrupts the reading of a request that is late. */
+    /**
+     * Closes the connection if it has been idle for longer than allowed. Interrupts the reading of a request that takes
+     * longer than allowed to arrive.
+     */
     fun enforce(limits: ConnectionLimits, nowNs: Long) {
         if (!isAwaitingRequest) return
         if (!hasRequestBegun) {
             if (nowNs - idleSinceNs > limits.idleMs * NS_PER_MS) socket.close()
             return
         }
-        val seenNs = requestSeenNs ?: nowNs.also { requestSeenNs = it }
-        if (nowNs - seenNs > limits.requestMs * NS_PER_MS) socket.interrupt(LateRequestException())
+        val firstSeenNs = requestFirstSeenNs ?: nowNs.also { requestFirstSeenNs = it }
+        if (nowNs - firstSeenNs > limits.requestMs * NS_PER_MS) socket.interrupt(RequestTimeoutException())
     }
 
     private companion object {
--- a/src/main/kotlin/io/otterknot/net/AwaitableSocket.kt
+++ b/src/main/kotlin/io/otterknot/net/AwaitableSocket.kt
@@ -11,8 +11,8 @@
 import kotlin.coroutines.resumeWithException
 
 /**
- * A non-blocking socket registered with an [EventLoop]; at most one coroutine at a time waits for it. The selector keeps
- * the interest set of the last wait: a connection served request by request then never changes its interest set.
+ * A non-blocking socket registered with an [EventLoop]; at most one coroutine at a time waits for it. The interest set
+ * is not cleared after a wait, so a connection on which one request after another is read does not have to change it.
  */
 abstract class AwaitableSocket internal constructor(loop: EventLoop, private val selectable: SelectableChannel) :
     Closeable {
@@ -24,14 +24,17 @@
         key = loop.register(selectable, this)
     }
 
-    /** The socket became ready while no coroutine waited. Between two requests that can only be the peer closing it. */
+    /**
+     * Whether the socket became ready while no coroutine waited. Between two requests the only possible cause is that
+     * the peer has closed the connection.
+     */
     protected var hasUnawaitedEvent = false
         private set
 
     /**
      * Suspends until the socket is ready for [operation], one of the `SelectionKey.OP_` constants.
      *
-     * @throws ClosedChannelException if the socket is closed before or meanwhile
+     * @throws ClosedChannelException if the socket is closed already or during the wait
      */
     protected suspend fun await(operation: Int) {
         if (!key.isValid) throw ClosedChannelException()
@@ -43,8 +46,11 @@
         }
     }
 
-    /** Resumes the waiting coroutine; called by the event loop when the selector reports the socket. */
-    internal fun becameReady() {
+    /**
+     * Resumes the waiting coroutine; called by the event loop when the selector reports the socket as ready. If no
+     * coroutine waits, records the event and clears the interest set.
+     */
+    internal fun onReady() {
         val continuation = waiter
         waiter = null
         if (continuation != null) {
@@ -55,14 +61,14 @@
         }
     }
 
-    /** Resumes the waiting coroutine with [cause]; the socket stays open. */
+    /** Resumes the waiting coroutine, if any, with the exception [cause]; the socket stays open. */
     internal fun interrupt(cause: IOException) {
         val continuation = waiter
         waiter = null
         continuation?.resumeWithException(cause)
     }
 
-    /** Closes the socket; a waiting coroutine is resumed with a [ClosedChannelException]. */
+    /** Closes the socket and resumes a waiting coroutine with a [ClosedChannelException]. */
     override fun close() {
         selectable.close()
         val continuation = waiter
--- a/src/main/kotlin/io/otterknot/net/EventLoop.kt
+++ b/src/main/kotlin/io/otterknot/net/EventLoop.kt
@@ -17,9 +17,8 @@
 import kotlin.coroutines.CoroutineContext
 
 /**
- * A single-threaded coroutine dispatcher that is also the selector loop of all sockets and the queue of all timers, so a
- * request passes from its socket to the decision and back without waking another thread. Not thread-safe except for
- * [dispatch].
+ * A single-threaded coroutine dispatcher that is also the selector loop of all sockets and the queue of all timers. A
+ * request is therefore read, handled and answered without waking another thread. Not thread-safe except for [dispatch].
  */
 @OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 class EventLoop :
@@ -34,10 +33,13 @@
     @Volatile
     private var thread: Thread? = null
 
-    /** Direct buffer shared by all sockets; its content is valid within one read or write only. */
+    /** Direct buffer shared by all sockets; its content is valid only during one read or write. */
     internal val transferBuffer: ByteBuffer = ByteBuffer.allocateDirect(TRANSFER_BYTES)
 
-    /** Runs [work] and all coroutines that it launches on the calling thread; returns its result once all have ended. */
+    /**
+     * Runs [work] and all coroutines that it launches on the calling thread. Returns the result of [work] once all have
+     * ended, or throws the exception of the first that failed.
+     */
     fun <T> run(work: suspend CoroutineScope.() -> T): T {
         thread = Thread.currentThread()
         val result = CoroutineScope(this).async { work() }
@@ -58,7 +60,7 @@
         }
     }
 
-    /** Runs ready tasks, at most [MAX_TASKS_PER_TURN] so that sockets and timers are not starved. */
+    /** Runs up to [MAX_TASKS_PER_TURN] ready tasks; the limit keeps sockets and timers from starving. */
     private fun runReadyTasks() {
         while (true) readyTasks.addLast(dispatchedByOtherThreads.poll() ?: break)
         var taskCount = 0
@@ -67,14 +69,14 @@
 
     private fun awaitSockets() {
         val waitMs = if (readyTasks.isEmpty()) timers.untilNextMs() else 0L
-        if (waitMs > 0) selector.select(::socketReady, waitMs) else selector.selectNow(::socketReady)
+        if (waitMs > 0) selector.select(::onSocketReady, waitMs) else selector.selectNow(::onSocketReady)
     }
 
-    private fun socketReady(key: SelectionKey) {
-        (key.attachment() as AwaitableSocket).becameReady()
+    private fun onSocketReady(key: SelectionKey) {
+        (key.attachment() as AwaitableSocket).onReady()
     }
 
-    /** Registers [channel] without any interest yet; [socket] is told when it becomes ready. */
+    /** Registers [channel] with an empty interest set; [socket] is notified when the channel becomes ready. */
     internal fun register(channel: SelectableChannel, socket: AwaitableSocket): SelectionKey =
         channel.register(selector, 0, socket)
 
--- a/src/main/kotlin/io/otterknot/net/TcpConnection.kt
+++ b/src/main/kotlin/io/otterknot/net/TcpConnection.kt
@@ -10,13 +10,13 @@
 /** A TCP connection. */
 class TcpConnection internal constructor(private val loop: EventLoop, private val channel: SocketChannel) :
     AwaitableSocket(loop, channel) {
-    /** Bytes received and not consumed yet. */
+    /** Bytes that have been received and not consumed yet. */
     val input = Buffer()
 
-    /** Whether another request may be sent: no bytes of an earlier response are left and the peer has not closed it. */
+    /** Whether another request can be sent: no bytes of an earlier response are left and the peer has not closed it. */
     val isReusable: Boolean get() = channel.isOpen && !hasUnawaitedEvent && input.exhausted()
 
-    /** Suspends until more [input] has arrived; false once the peer has shut down its side. */
+    /** Suspends until more [input] has arrived; returns false if the peer has shut down its side instead. */
     suspend fun receive(): Boolean {
         while (true) {
             await(SelectionKey.OP_READ)
@@ -30,13 +30,13 @@
         }
     }
 
-    /** Suspends until [input] holds at least [byteCount] bytes; false once the peer has shut down its side. */
+    /** Suspends until [input] holds at least [byteCount] bytes; false if the peer shuts down its side before. */
     suspend fun receive(byteCount: Long): Boolean {
         while (input.size < byteCount) if (!receive()) return false
         return true
     }
 
-    /** Suspends until all of [bytes] has been handed to the operating system. */
+    /** Suspends until all of [bytes] have been handed to the operating system. */
     suspend fun send(bytes: ByteArray) {
         var sentCount = 0
         while (sentCount < bytes.size) {
@@ -60,7 +60,7 @@
          */
         suspend fun open(loop: EventLoop, address: HostPort): TcpConnection {
             val connection = of(loop, SocketChannel.open())
-            @Suppress("TooGenericExceptionCaught") // whatever went wrong, the socket must not leak; it is rethrown
+            @Suppress("TooGenericExceptionCaught") // the socket must be closed after any failure; it is rethrown
             try {
                 connection.connect(InetSocketAddress(address.host, address.port))
                 return connection
@@ -70,7 +70,10 @@
             }
         }
 
-        /** Nagle's algorithm is off: messages are sent whole, so there is nothing to wait for. */
+        /**
+         * Wraps [channel] with Nagle's algorithm disabled: each message is sent in one write, so delaying small packets
+         * has no benefit.
+         */
         internal fun of(loop: EventLoop, channel: SocketChannel): TcpConnection = try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
             TcpConnection(loop, channel)
--- a/src/main/kotlin/io/otterknot/net/TcpListener.kt
+++ b/src/main/kotlin/io/otterknot/net/TcpListener.kt
@@ -9,7 +9,7 @@
 /** A listening TCP socket. */
 class TcpListener private constructor(private val loop: EventLoop, private val channel: ServerSocketChannel) :
     AwaitableSocket(loop, channel) {
-    /** The local port, also where the system chose it. */
+    /** The local port; the one that the operating system chose if the listener was bound to port 0. */
     val port: Int get() = (channel.localAddress as InetSocketAddress).port
 
     /** Suspends until a client connects. */
@@ -21,7 +21,7 @@
     }
 
     companion object {
-        /** Connections that the operating system keeps before they are accepted; it refuses further ones. */
+        /** How many connections the operating system queues before they are accepted; it refuses further ones. */
         private const val ACCEPT_BACKLOG = 256
 
         /**
@@ -31,7 +31,7 @@
          */
         fun bind(loop: EventLoop, address: HostPort): TcpListener {
             val channel = ServerSocketChannel.open()
-            @Suppress("TooGenericExceptionCaught") // whatever went wrong, the socket must not leak; it is rethrown
+            @Suppress("TooGenericExceptionCaught") // the socket must be closed after any failure; it is rethrown
             try {
                 channel.setOption(StandardSocketOptions.SO_REUSEADDR, true)
                 channel.bind(InetSocketAddress(address.host, address.port), ACCEPT_BACKLOG)
--- a/src/main/kotlin/io/otterknot/net/TimerQueue.kt
+++ b/src/main/kotlin/io/otterknot/net/TimerQueue.kt
@@ -4,19 +4,25 @@
 import kotlinx.coroutines.Runnable
 import java.util.TreeSet
 
-/** The timers of an [EventLoop], by the JVM's monotonic clock; those that are due together run in the order of their creation. */
+/**
+ * The timers of an [EventLoop], ordered by the JVM's monotonic clock. Timers with the same due time run in the order of
+ * their creation.
+ */
 internal class TimerQueue {
     private val timers = TreeSet<Timer>()
     private var createdCount = 0L
 
-    /** A block to run once at [dueNs]; disposing of it cancels it. */
-    inner class Timer(val dueNs: Long, private val number: Long, val block: Runnable) :
+    /** Runs [block] once at [dueNs] (of `System.nanoTime`); [dispose] cancels it. */
+    inner class Timer(val dueNs: Long, private val sequenceNumber: Long, val block: Runnable) :
         Comparable<Timer>,
         DisposableHandle {
-        /** By difference, as `System.nanoTime` asks for: the origin of that clock is arbitrary. */
+        /**
+         * Compares the due times by their difference, as `System.nanoTime` requires: the origin of that clock is
+         * arbitrary.
+         */
         override fun compareTo(other: Timer): Int {
             val difference = dueNs - other.dueNs
-            return if (difference != 0L) difference.compareTo(0) else number.compareTo(other.number)
+            return if (difference != 0L) difference.compareTo(0) else sequenceNumber.compareTo(other.sequenceNumber)
         }
 
         override fun dispose() {
@@ -24,7 +30,7 @@
         }
     }
 
-    /** Runs [block] in [delayMs] milliseconds, unless it is disposed of before. */
+    /** Schedules [block] to run in [delayMs] milliseconds, unless the returned timer is disposed before. */
     fun schedule(delayMs: Long, block: Runnable): Timer {
         val dueNs = System.nanoTime() + minOf(delayMs, MAX_DELAY_MS) * NS_PER_MS
         return Timer(dueNs, createdCount++, block).also(timers::add)
@@ -37,7 +43,10 @@
         while (timers.isNotEmpty() && timers.first().dueNs - now <= 0) timers.pollFirst()?.block?.run()
     }
 
-    /** Milliseconds until the next timer is due, rounded up: a wait that ends too early would only be repeated. */
+    /**
+     * Returns the milliseconds until the next timer is due, or [MAX_DELAY_MS] if there is none. Rounded up, because a
+     * wait that ends before the due time would have to be repeated.
+     */
     fun untilNextMs(): Long {
         if (timers.isEmpty()) return MAX_DELAY_MS
         return (timers.first().dueNs - System.nanoTime() + NS_PER_MS - 1) / NS_PER_MS
@@ -46,7 +55,7 @@
     private companion object {
         const val NS_PER_MS = 1_000_000L
 
-        /** Ten years: no sum with a reading of the clock overflows. */
+        /** Ten years; larger delays are reduced to this so that a due time in nanoseconds does not overflow. */
         const val MAX_DELAY_MS = 315_360_000_000L
     }
 }
--- a/src/test/kotlin/io/otterknot/http/HttpLoopTest.kt
+++ b/src/test/kotlin/io/otterknot/http/HttpLoopTest.kt
@@ -22,74 +22,77 @@
 import org.junit.jupiter.params.provider.MethodSource
 import java.io.IOException
 
-/** The event loop, its sockets, and HTTP on them, over loopback. */
+/** Tests the event loop, its sockets and timers, and the HTTP client and server on them, over loopback. */
 class HttpLoopTest {
-    /** What a client sends, piece by piece, and the statuses that it gets. */
-    class Conversation(val name: String, val pieces: List<String>, val statuses: List<Int>, val closes: Boolean) {
+    /** What a client sends, piece by piece, and the statuses of the responses that it must receive. */
+    class RequestCase(val name: String, val pieces: List<String>, val statuses: List<Int>, val closes: Boolean) {
         override fun toString() = name
     }
 
     @ParameterizedTest
-    @MethodSource("conversations")
-    fun `requests are answered however they come`(conversation: Conversation) = onServer { _, address, _ ->
-        val connection = TcpConnection.open(loop, address)
-        for (piece in conversation.pieces) {
-            connection.send(piece.encodeToByteArray())
-            delay(5)
+    @MethodSource("requestCases")
+    fun `valid and malformed requests are answered with the expected statuses`(case: RequestCase) =
+        withServer { _, address, _ ->
+            val connection = TcpConnection.open(loop, address)
+            for (piece in case.pieces) {
+                connection.send(piece.encodeToByteArray())
+                delay(5)
+            }
+            val statuses = List(case.statuses.size) { readStatus(connection) }
+            assertEquals(case.statuses, statuses)
+            if (case.closes) assertFalse(connection.receive(), "the connection must be closed after the response")
+            connection.close()
         }
-        val statuses = List(conversation.statuses.size) { readAnswer(connection) }
-        assertEquals(conversation.statuses, statuses)
-        if (conversation.closes) assertFalse(connection.receive(), "the connection is closed after the answer")
-        connection.close()
-    }
 
-    /** A request that comes late on a kept connection, and requests of which the rest never comes. */
+    /**
+     * A request that begins after a pause on an open connection, and requests that remain incomplete. Guards against a
+     * timeout that counts from the previous response, and against connections that stay open for incomplete requests.
+     */
     @ParameterizedTest
-    @MethodSource("slowClients")
-    fun `a request has its time from its own first byte, and one that stays unfinished is refused`(
-        client: Conversation,
-    ) = onServer(limits = ConnectionLimits(idleMs = 100_000, requestMs = 300, checkMs = 25)) { _, address, _ ->
-        val connection = TcpConnection.open(loop, address)
-        connection.send(GET.encodeToByteArray())
-        assertEquals(200, readAnswer(connection))
-        delay(500)
-        for (piece in client.pieces) {
-            connection.send(piece.encodeToByteArray())
-            delay(60)
+    @MethodSource("slowRequestCases")
+    fun `the request timeout starts at the first byte, and an incomplete request is refused`(case: RequestCase) =
+        withServer(limits = ConnectionLimits(idleMs = 100_000, requestMs = 300, checkMs = 25)) { _, address, _ ->
+            val connection = TcpConnection.open(loop, address)
+            connection.send(GET.encodeToByteArray())
+            assertEquals(200, readStatus(connection))
+            delay(500)
+            for (piece in case.pieces) {
+                connection.send(piece.encodeToByteArray())
+                delay(60)
+            }
+            assertEquals(case.statuses, List(case.statuses.size) { readStatus(connection) })
+            if (case.closes) assertFalse(connection.receive(), "the connection must be closed after the response")
+            connection.close()
         }
-        assertEquals(client.statuses, List(client.statuses.size) { readAnswer(connection) })
-        if (client.closes) assertFalse(connection.receive(), "the connection is closed after the answer")
-        connection.close()
-    }
 
     @Test
-    fun `what was sent is what the handler gets`() = onServer { _, address, requests ->
+    fun `the handler receives method, path, query and body as sent`() = withServer { _, address, requests ->
         val client = HttpClient(loop, address)
-        val reply = client.call("POST", "/a/b?c=d", "{}".encodeToByteArray(), ANSWER_MS) as Reply.Answer
+        val reply = client.call("POST", "/a/b?c=d", "{}".encodeToByteArray(), CALL_TIMEOUT_MS) as Reply.Answer
         assertEquals(200, reply.status)
         assertEquals("POST /a/b ?c=d {}", requests.single())
     }
 
     @Test
-    fun `decisions, timers and sockets share one thread, and requests one connection`() = onServer {
+    fun `handlers, timers and sockets run on one thread, and successive requests reuse one connection`() = withServer {
             server,
             address,
             _,
         ->
         val client = HttpClient(loop, address, maxIdle = 1)
-        val own = Thread.currentThread()
-        repeat(REQUESTS) {
-            client.call("GET", "/", null, ANSWER_MS)
-            assertEquals(own, Thread.currentThread(), "after an answer")
+        val loopThread = Thread.currentThread()
+        repeat(REQUEST_COUNT) {
+            client.call("GET", "/", null, CALL_TIMEOUT_MS)
+            assertEquals(loopThread, Thread.currentThread(), "thread after a response")
             delay(1)
-            assertEquals(own, Thread.currentThread(), "after a delay")
+            assertEquals(loopThread, Thread.currentThread(), "thread after a delay")
         }
-        assertEquals(setOf(own), server.threads, "the handler's threads")
+        assertEquals(setOf(loopThread), server.threads, "threads on which the handler ran")
         assertEquals(1, server.acceptedCount)
     }
 
     @Test
-    fun `a kept connection that the other side has closed is not used again`() = EventLoop().use { loop ->
+    fun `an idle connection that the server has closed is not reused`() = EventLoop().use { loop ->
         loop.run {
             val listener = TcpListener.bind(loop, HostPort("127.0.0.1", 0))
             val server = launch {
@@ -102,7 +105,7 @@
             }
             val client = HttpClient(loop, HostPort("127.0.0.1", listener.port))
             repeat(2) {
-                assertTrue(client.call("GET", "/", null, ANSWER_MS) is Reply.Answer)
+                assertTrue(client.call("GET", "/", null, CALL_TIMEOUT_MS) is Reply.Answer)
                 delay(20)
             }
             server.join()
@@ -111,34 +114,34 @@
     }
 
     @Test
-    fun `more connections than allowed are closed at once, and one that ends makes room`() =
-        onServer(maxConnections = 2) { _, address, _ ->
-            val kept = List(2) { TcpConnection.open(loop, address) }
-            kept.forEach { it.send(GET.encodeToByteArray()) }
-            kept.forEach { assertEquals(200, readAnswer(it)) }
+    fun `a connection above the limit is closed, and closing one allows another`() =
+        withServer(maxConnections = 2) { _, address, _ ->
+            val openConnections = List(2) { TcpConnection.open(loop, address) }
+            openConnections.forEach { it.send(GET.encodeToByteArray()) }
+            openConnections.forEach { assertEquals(200, readStatus(it)) }
             val refused = TcpConnection.open(loop, address)
             assertFalse(refused.receive())
-            kept.first().close()
+            openConnections.first().close()
             delay(20)
             val next = TcpConnection.open(loop, address)
             next.send(GET.encodeToByteArray())
-            assertEquals(200, readAnswer(next))
-            listOf(refused, next, kept.last()).forEach { it.close() }
+            assertEquals(200, readStatus(next))
+            listOf(refused, next, openConnections.last()).forEach { it.close() }
         }
 
     @Test
-    fun `large messages pass in both directions at the same time`() = onServer { _, address, _ ->
+    fun `large bodies are transferred in both directions concurrently`() = withServer { _, address, _ ->
         val client = HttpClient(loop, address, maxIdle = 8)
-        val body = ByteArray(MAX_BODY) { 'x'.code.toByte() }
+        val body = ByteArray(MAX_BODY_BYTES) { 'x'.code.toByte() }
         coroutineScope {
-            List(8) { async { client.call("POST", "/echo", body, ANSWER_MS) } }.awaitAll().forEach {
+            List(8) { async { client.call("POST", "/echo", body, CALL_TIMEOUT_MS) } }.awaitAll().forEach {
                 assertEquals(body.size, (it as Reply.Answer).body.size)
             }
         }
     }
 
     @Test
-    fun `timers run in the order of their times, and what is cancelled does not run`() = EventLoop().use { loop ->
+    fun `timers run in the order of their due times, and a cancelled timer does not run`() = EventLoop().use { loop ->
         val order = ArrayList<Int>()
         loop.run {
             for (ms in listOf(30, 10, 20)) {
@@ -157,9 +160,9 @@
         assertEquals(listOf(10, 20, 30), order)
     }
 
-    /** A controller that gets no turn for long finds several timers due: none is lost, and each runs once. */
+    /** A controller without processor time for a while finds several timers overdue: each must run, and only once. */
     @Test
-    fun `timers that come late all run, in their order, before anything new is read`() = EventLoop().use { loop ->
+    fun `overdue timers all run in the order of their due times`() = EventLoop().use { loop ->
         val order = ArrayList<String>()
         loop.run {
             for (ms in listOf(3L, 1L, 2L)) {
@@ -170,36 +173,37 @@
             }
             launch {
                 delay(0)
-                val began = System.nanoTime()
-                while (System.nanoTime() - began < STALL_NS) Thread.onSpinWait()
+                val startNs = System.nanoTime()
+                while (System.nanoTime() - startNs < STALL_NS) Thread.onSpinWait()
             }
         }
         assertEquals(listOf("1", "2", "3"), order)
     }
 
     @Test
-    fun `a task from another thread wakes the loop, and a failure ends the run`() = EventLoop().use { loop ->
-        loop.run {
-            val fromElsewhere = CompletableDeferred<Thread>()
-            val other = Thread { CoroutineScope(loop).launch { fromElsewhere.complete(Thread.currentThread()) } }
-            other.start()
-            assertEquals(Thread.currentThread(), fromElsewhere.await())
+    fun `a task dispatched by another thread wakes the loop, and an exception ends the run`() =
+        EventLoop().use { loop ->
+            loop.run {
+                val taskThread = CompletableDeferred<Thread>()
+                val other = Thread { CoroutineScope(loop).launch { taskThread.complete(Thread.currentThread()) } }
+                other.start()
+                assertEquals(Thread.currentThread(), taskThread.await())
+            }
+            assertThrows(IOException::class.java) { loop.run { throw IOException("thrown by the test") } }
+            Unit
         }
-        assertThrows(IOException::class.java) { loop.run { throw IOException("broken") } }
-        Unit
-    }
 
     @Test
-    fun `an address at which nobody listens is given up at once`() = EventLoop().use { loop ->
+    fun `a call to an address without a listener returns no response`() = EventLoop().use { loop ->
         loop.run {
             val listener = TcpListener.bind(loop, HostPort("127.0.0.1", 0))
             val address = HostPort("127.0.0.1", listener.port)
             listener.close()
-            assertTrue(HttpClient(loop, address).call("GET", "/", null, ANSWER_MS) is Reply.None)
+            assertTrue(HttpClient(loop, address).call("GET", "/", null, CALL_TIMEOUT_MS) is Reply.None)
         }
     }
 
-    // ---- the server of these tests
+    // ---- the server under test
 
     private class TestServer(private val server: () -> HttpServer) {
         val threads = HashSet<Thread>()
@@ -208,36 +212,36 @@
 
     private lateinit var loop: EventLoop
 
-    private fun onServer(
+    private fun withServer(
         maxConnections: Int = 16,
         limits: ConnectionLimits = ConnectionLimits(),
-        play: suspend CoroutineScope.(TestServer, HostPort, List<String>) -> Unit,
+        test: suspend CoroutineScope.(TestServer, HostPort, List<String>) -> Unit,
     ) = EventLoop().use { newLoop ->
         loop = newLoop
         newLoop.run {
             val requests = ArrayList<String>()
             lateinit var server: HttpServer
-            val seen = TestServer { server }
-            server = HttpServer(newLoop, maxConnections, MAX_BODY, limits) { request ->
-                seen.threads.add(Thread.currentThread())
-                requests.add(described(request))
+            val testServer = TestServer { server }
+            server = HttpServer(newLoop, maxConnections, MAX_BODY_BYTES, limits) { request ->
+                testServer.threads.add(Thread.currentThread())
+                requests.add(describe(request))
                 HttpResponse(200, request.body)
             }
             val listener = server.bind(HostPort("127.0.0.1", 0))
-            val serving = launch { server.serve(this, listener) }
-            play(seen, HostPort("127.0.0.1", listener.port), requests)
-            serving.cancel()
+            val serveJob = launch { server.serve(this, listener) }
+            test(testServer, HostPort("127.0.0.1", listener.port), requests)
+            serveJob.cancel()
             listener.close()
         }
     }
 
-    private fun described(request: HttpRequest) =
+    private fun describe(request: HttpRequest) =
         "${request.method} ${request.path} ${request.query} ${request.body.decodeToString()}"
 
-    private suspend fun readAnswer(connection: TcpConnection): Int {
+    private suspend fun readStatus(connection: TcpConnection): Int {
         var head = ""
         while ("\r\n\r\n" !in head) {
-            if (!connection.receive(1)) return NO_ANSWER
+            if (!connection.receive(1)) return NO_RESPONSE
             head += connection.input.readByteArray(1).decodeToString()
         }
         val length = Regex("Content-Length: (\\d+)").find(head)!!.groupValues[1].toLong()
@@ -247,43 +251,63 @@
     }
 
     companion object {
-        private const val MAX_BODY = 200_000
-        private const val ANSWER_MS = 10_000L
-        private const val REQUESTS = 20
-        private const val NO_ANSWER = -1
+        private const val MAX_BODY_BYTES = 200_000
+        private const val CALL_TIMEOUT_MS = 10_000L
+        private const val REQUEST_COUNT = 20
+        private const val NO_RESPONSE = -1
         private const val STALL_NS = 20_000_000L
         private const val GET = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
         private const val POST = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}"
         private const val CHUNKED = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
 
         @JvmStatic
-        fun slowClients() = listOf(
-            Conversation("in pieces after a pause", listOf(POST.take(20), POST.drop(20)), listOf(200), false),
-            Conversation("half a head", listOf(GET.take(20)), listOf(400), true),
-            Conversation("a head without its body", listOf(POST.dropLast(2)), listOf(400), true),
-            Conversation("half a body", listOf(POST.dropLast(1)), listOf(400), true),
-            Conversation("chunks without an end", listOf(CHUNKED, "2\r\n{}\r\n"), listOf(400), true),
+        fun slowRequestCases() = listOf(
+            RequestCase(
+                "complete, in two pieces after a pause",
+                listOf(POST.take(20), POST.drop(20)),
+                listOf(200),
+                false,
+            ),
+            RequestCase("incomplete head", listOf(GET.take(20)), listOf(400), true),
+            RequestCase("head without its body", listOf(POST.dropLast(2)), listOf(400), true),
+            RequestCase("incomplete body", listOf(POST.dropLast(1)), listOf(400), true),
+            RequestCase("chunked body without the last chunk", listOf(CHUNKED, "2\r\n{}\r\n"), listOf(400), true),
         )
 
         @JvmStatic
-        fun conversations() = listOf(
-            Conversation("one", listOf(GET), listOf(200), false),
-            Conversation("two, one after the other", listOf(GET, POST), listOf(200, 200), false),
-            Conversation("two at once", listOf(POST + GET), listOf(200, 200), false),
-            Conversation("byte by byte", POST.map { "$it" }, listOf(200), false),
-            Conversation("line feeds alone", listOf(GET.replace("\r", "")), listOf(200), false),
-            Conversation("empty lines first", listOf("\r\n\r\n$GET"), listOf(200), false),
-            Conversation("asked to close", listOf("GET / HTTP/1.1\r\nConnection: close\r\n\r\n"), listOf(200), true),
-            Conversation("chunks", listOf(CHUNKED, "2\r\n{}\r\n0", "\r\n\r\n"), listOf(200), true),
-            Conversation("not HTTP", listOf("what\r\n\r\n"), listOf(400), true),
-            Conversation("another protocol", listOf("GET / SIP/2.0\r\n\r\n"), listOf(400), true),
-            Conversation("a nameless field", listOf(GET.replace("Host: a", ": a")), listOf(400), true),
-            Conversation("a line without a colon", listOf(GET.replace("Host: a", "Host")), listOf(400), true),
-            Conversation("a line of one character", listOf(GET.replace("Host: a", "H\nHost: a")), listOf(400), true),
-            Conversation("a bad length", listOf(GET.replace("Host: a", "Content-Length: x")), listOf(400), true),
-            Conversation("below zero", listOf(GET.replace("Host: a", "Content-Length: -1")), listOf(400), true),
-            Conversation("too large", listOf(GET.replace("Host: a", "Content-Length: 200001")), listOf(413), true),
-            Conversation("an endless head", listOf("GET / HTTP/1.1\r\nA: " + "x".repeat(20_000)), listOf(400), true),
+        fun requestCases() = listOf(
+            RequestCase("one request", listOf(GET), listOf(200), false),
+            RequestCase("two requests, one after the other", listOf(GET, POST), listOf(200, 200), false),
+            RequestCase("two requests in one write", listOf(POST + GET), listOf(200, 200), false),
+            RequestCase("byte by byte", POST.map { "$it" }, listOf(200), false),
+            RequestCase("line feeds without carriage returns", listOf(GET.replace("\r", "")), listOf(200), false),
+            RequestCase("empty lines before the head", listOf("\r\n\r\n$GET"), listOf(200), false),
+            RequestCase("Connection: close", listOf("GET / HTTP/1.1\r\nConnection: close\r\n\r\n"), listOf(200), true),
+            RequestCase("chunked body", listOf(CHUNKED, "2\r\n{}\r\n0", "\r\n\r\n"), listOf(200), true),
+            RequestCase("first line without a version", listOf("what\r\n\r\n"), listOf(400), true),
+            RequestCase("another protocol", listOf("GET / SIP/2.0\r\n\r\n"), listOf(400), true),
+            RequestCase("header without a name", listOf(GET.replace("Host: a", ": a")), listOf(400), true),
+            RequestCase("header line without a colon", listOf(GET.replace("Host: a", "Host")), listOf(400), true),
+            RequestCase(
+                "line of one character",
+                listOf(GET.replace("Host: a", "H\nHost: a")),
+                listOf(400),
+                true,
+            ),
+            RequestCase(
+                "Content-Length not a number",
+                listOf(GET.replace("Host: a", "Content-Length: x")),
+                listOf(400),
+                true,
+            ),
+            RequestCase(
+                "negative Content-Length",
+                listOf(GET.replace("Host: a", "Content-Length: -1")),
+                listOf(400),
+                true,
+            ),
+            RequestCase("body too large", listOf(GET.replace("Host: a", "Content-Length: 200001")), listOf(413), true),
+            RequestCase("head too large", listOf("GET / HTTP/1.1\r\nA: " + "x".repeat(20_000)), listOf(400), true),
         )
     }
 }
