--- a/src/main/kotlin/io/otterknot/cli/CheckCommand.kt
+++ b/src/main/kotlin/io/otterknot/cli/CheckCommand.kt
@@ -6,13 +6,13 @@
 import picocli.CommandLine.Model.CommandSpec
 import java.nio.file.Path
 
-/** `otterknot check`: whether the settings files are valid; either may be checked by itself. */
+/** `otterknot check`: checks the settings file, the operators' file or both. */
 internal object CheckCommand {
     const val NAME = "check"
 
     fun spec(): CommandSpec {
         val spec = CommandSpec.create().name(NAME)
-        spec.usageMessage().description("Checks the settings files and says what is wrong with them.")
+        spec.usageMessage().description("Checks the settings files and prints the first error found.")
         spec.mixinStandardHelpOptions(true)
         return spec.addOption(configOption()).addOption(operatorsOption())
     }
@@ -28,15 +28,15 @@
         return ExitCode.OK
     }
 
-    /** Null, with one line on standard error, if the file is invalid. */
+    /** Returns the line to print for a valid [file]; or null, after one line on standard error, if it is invalid. */
     private fun checkSettings(file: Path): String? {
-        val settings = orReport { SettingsFile.read(file) } ?: return null
+        val settings = readOrReport { SettingsFile.read(file) } ?: return null
         return "${settings.label}: the settings are good"
     }
 
-    /** Null, with one line on standard error, if the file is invalid. */
+    /** Returns the line to print for a valid [file]; or null, after one line on standard error, if it is invalid. */
     private fun checkOperatorSettings(file: Path): String? {
-        val settings = orReport { OperatorSettingsFile.read(file) } ?: return null
+        val settings = readOrReport { OperatorSettingsFile.read(file) } ?: return null
         return "$file: good; load-spread is ${settings.loadSpread.mode.name.lowercase()}"
     }
 }
--- a/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
+++ b/src/main/kotlin/io/otterknot/cli/ClassDataWarmup.kt
@@ -14,13 +14,13 @@
 import kotlin.random.Random
 
 /**
- * A short run on loopback against a stub, so that the classes of an ordinary start are loaded and the build can archive
- * them. Runs in the build alone.
+ * Runs a controller on loopback against stub services for a short time, so that the classes of an ordinary start are
+ * loaded and the build can put them into the class-data archive. Used only by the build.
  */
 internal object ClassDataWarmup {
     private const val LOOPBACK = "127.0.0.1"
-    private const val OWN_CLASSES = "io/otterknot/"
-    private const val CLASS_FILE = ".class"
+    private const val PROJECT_CLASS_PREFIX = "io/otterknot/"
+    private const val CLASS_FILE_SUFFIX = ".class"
     private const val MAX_STUB_CONNECTIONS = 32
 
     fun run(): Int {
@@ -30,8 +30,9 @@
     }
 
     /**
-     * Loads every class of this project by name, without initialising it: what the run does not reach would otherwise
-     * be missing in the archive and be read from the jar when it is needed. Controllers themselves load none by name.
+     * Loads every class of this project by name, without initializing it. Classes that the run does not use would
+     * otherwise be missing from the archive and be read from the jar when they are needed. Controllers load no class by
+     * name.
      */
     private fun loadOwnClasses() {
         val source = Path.of(ClassDataWarmup::class.java.protectionDomain.codeSource.location.toURI())
@@ -40,8 +41,10 @@
         JarFile(source.toFile()).use { jar ->
             jar.stream()
                 .map { it.name }
-                .filter { it.startsWith(OWN_CLASSES) && it.endsWith(CLASS_FILE) }
-                .forEach { Class.forName(it.removeSuffix(CLASS_FILE).replace('/', '.'), false, javaClass.classLoader) }
+                .filter { it.startsWith(PROJECT_CLASS_PREFIX) && it.endsWith(CLASS_FILE_SUFFIX) }
+                .forEach {
+                    Class.forName(it.removeSuffix(CLASS_FILE_SUFFIX).replace('/', '.'), false, javaClass.classLoader)
+                }
         }
     }
 
@@ -54,7 +57,7 @@
         val settings = WarmupSettings.read(listener.port, controllerPort)
         val stub = launch { services.serve(this, listener) }
         val controller = launch { serveController(loop, settings, Random(1)) }
-        useLateClasses()
+        loadDeferredClasses()
         WarmupTraffic.send(HttpClient(loop, HostPort(LOOPBACK, controllerPort)))
         controller.cancel()
         stub.cancel()
@@ -62,8 +65,11 @@
 
     private fun unusedPort(): Int = ServerSocket(0).use { it.localPort }
 
-    /** What is first used a minute after a start, or once the operators' file changes: nobody shall wait for it then. */
-    private fun useLateClasses() {
+    /**
+     * Loads the classes that a controller first uses one minute after its start (metrics) or when the operators' file
+     * changes, so that loading them causes no delay then.
+     */
+    private fun loadDeferredClasses() {
         OperatorSettingsFile.parse("(load-spread :mode act :margin-s 3.0 :hand-overs true)")
         Metrics { 0 }.apply {
             count("warm-up")
--- a/src/main/kotlin/io/otterknot/cli/CommandParser.kt
+++ b/src/main/kotlin/io/otterknot/cli/CommandParser.kt
@@ -5,9 +5,9 @@
 import picocli.CommandLine.Model.OptionSpec
 import java.nio.file.Path
 
-/** The command line, built without annotations: reading those by reflection costs start-up time. */
+/** Parses the command line. It is described without annotations, since reading them by reflection slows the start. */
 internal object CommandParser {
-    @Suppress("SpreadOperator") // The parser takes nothing else, and is called once.
+    @Suppress("SpreadOperator") // picocli accepts only varargs, and the array is copied only once.
     fun run(args: Array<String>): Int {
         val commandLine = CommandLine(spec())
         commandLine.executionStrategy = CommandLine.IExecutionStrategy { parsed ->
@@ -32,7 +32,7 @@
     private fun warmupSpec(): CommandSpec {
         val spec = CommandSpec.create().name(WARMUP_COMMAND)
         spec.usageMessage()
-            .description("Loads what a controller uses and ends; the build makes its class-data archive from it.")
+            .description("Loads the classes that a controller uses and exits; the build archives their class data.")
             .hidden(true)
         return spec
     }
@@ -58,19 +58,19 @@
 internal fun configOption(): OptionSpec = OptionSpec.builder("-c", CONFIG_OPTION)
     .paramLabel("FILE")
     .type(Path::class.java)
-    .description("the settings file (TOML)")
+    .description("the platform's settings file (TOML)")
     .build()
 
 internal fun operatorsOption(): OptionSpec = OptionSpec.builder(OPERATORS_OPTION)
     .paramLabel("FILE")
     .type(Path::class.java)
-    .description("the operators' own settings (S-expressions); without such a file all that it turns on is off")
+    .description("the operators' settings file (S-expressions); without it all optional subsystems are off")
     .build()
 
-/** The value of an option that names a file; null if it is not given. */
+/** Returns the path given with [option], or null if the option is not given. */
 internal fun CommandLine.ParseResult.path(option: String): Path? = matchedOptionValue<Path?>(option, null)
 
 internal fun reportMissingConfig(): Int {
-    System.err.println("otterknot: $CONFIG_OPTION FILE is missing")
+    System.err.println("otterknot: option $CONFIG_OPTION FILE is required")
     return ExitCode.USAGE
 }
--- a/src/main/kotlin/io/otterknot/cli/ControllerProcess.kt
+++ b/src/main/kotlin/io/otterknot/cli/ControllerProcess.kt
@@ -21,17 +21,17 @@
 import java.io.IOException
 import kotlin.random.Random
 
-/** Runs a controller until the process is ended, or cannot go on; one of [ExitCode]. */
+/** Runs a controller until the process ends or an I/O error stops it. Returns one of [ExitCode]. */
 internal fun runController(settings: Settings, operatorSettings: OperatorSettingsFollower?): Int = try {
     val seed = System.nanoTime() xor settings.label.hashCode().toLong()
     onEventLoop { loop -> serveController(loop, settings, Random(seed), operatorSettings) }
     ExitCode.OK
 } catch (e: IOException) {
-    LoggerFactory.getLogger(LOGGER).error("controller={} error={} cannot run", settings.label, e.toString())
+    LoggerFactory.getLogger(LOGGER_NAME).error("controller={} error={} cannot run", settings.label, e.toString())
     ExitCode.FAILURE
 }
 
-/** Runs [work] on a new event loop: all decisions are taken one at a time, on the thread that also waits for sockets. */
+/** Runs [work] on a new event loop: all code of a controller runs on one thread, which also waits for sockets. */
 internal fun <T> onEventLoop(work: suspend CoroutineScope.(EventLoop) -> T): T =
     EventLoop().use { loop -> loop.run { work(loop) } }
 
@@ -50,18 +50,22 @@
         wallMs = System::currentTimeMillis,
         operatorSettings = { operatorSettings?.current ?: ALL_OFF },
     )
-    val maxConnections = maxOf(MIN_CONNECTIONS, settings.facts.machineLimits.fdLimit * CONNECTION_PARTS / FILE_PARTS)
+    val maxConnections = maxOf(
+        MIN_CONNECTIONS,
+        settings.facts.machineLimits.fdLimit * CONNECTION_SHARE_NUMERATOR / CONNECTION_SHARE_DENOMINATOR,
+    )
     val server = HttpServer(loop, maxConnections, MAX_BODY_BYTES, handler = controller::handleRequest)
     launch { controller.run() }
     if (operatorSettings != null) launch { operatorSettings.follow() }
     launch {
         PeerServer(loop, controller::handlePeerRequest).serve(this, HostPort.parse("peer_listen", settings.peerListen))
     }
-    // Hundreds of workers look for a leader after a crash. Answering each that nothing is known yet would take the little
-    // processor time that reading the state needs; a refused connection costs next to nothing and sends them on as well.
+    // After a crash hundreds of workers look for a leader. Responding to each of them before the state is loaded would
+    // use the little processor time that loading needs. A refused connection costs almost nothing and also makes the
+    // worker try another controller.
     withTimeoutOrNull(MAX_BIND_DELAY_MS) { controller.awaitLoaded() }
     val listener = server.bind(HostPort.parse("bind", settings.bind))
-    LoggerFactory.getLogger(LOGGER)
+    LoggerFactory.getLogger(LOGGER_NAME)
         .info("controller={} domain={} address={} listening", settings.label, settings.domain, settings.bind)
     server.serve(this, listener)
 }
@@ -78,15 +82,15 @@
 }
 
 private val ALL_OFF = OperatorSettings()
-private const val LOGGER = "otterknot"
+private const val LOGGER_NAME = "otterknot"
 private const val NANOS_PER_MS = 1_000_000
 
-/** The port is bound after this time even if the store has not been read: workers then learn at least who leads. */
+/** The port is bound after this time even if the state is not loaded, so that workers can at least find the leader. */
 private const val MAX_BIND_DELAY_MS = 4_000L
 
-/** The fewest connections that are accepted, however few file descriptors the machine allows. */
+/** The lower bound of the connection limit, even if the machine allows fewer file descriptors. */
 private const val MIN_CONNECTIONS = 32
 
-/** Of each [FILE_PARTS] file descriptors that the machine allows, these are for accepted connections. */
-private const val CONNECTION_PARTS = 4
-private const val FILE_PARTS = 5
+/** The share of the allowed file descriptors that accepted connections may use: numerator and denominator. */
+private const val CONNECTION_SHARE_NUMERATOR = 4
+private const val CONNECTION_SHARE_DENOMINATOR = 5
--- a/src/main/kotlin/io/otterknot/cli/Main.kt
+++ b/src/main/kotlin/io/otterknot/cli/Main.kt
@@ -14,7 +14,7 @@
     exitProcess(run(args))
 }
 
-/** Must come before the first logger: slf4j-simple reads these properties once. */
+/** Sets the logging properties. Must run before the first logger is created: slf4j-simple reads them only once. */
 private fun configureLogging() {
     val level = System.getenv("LOG_LEVEL")?.lowercase()?.takeIf {
         it in setOf("error", "warn", "info", "debug", "trace")
@@ -24,22 +24,23 @@
     System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true")
 }
 
-/** Runs the command that [args] name; one of [ExitCode]. */
+/** Runs the command given by [args]. Returns one of [ExitCode]. */
 internal fun run(args: Array<String>): Int {
     val files = startFilesOf(args) ?: return CommandParser.run(args)
     return start(files)
 }
 
-/** The files that a controller is started with. */
+/** The settings files of a controller's command line. */
 internal class StartFiles(
     val settings: Path,
-    /** Null: all that the operators' settings could turn on is off. */
+    /** The operators' file, or null if none is given; all optional subsystems are then off. */
     val operatorSettings: Path?,
 )
 
 /**
- * The command lines that controllers are started with; null for any other. The class files of the argument parser are of
- * a version that the JVM does not archive: loading them takes a fifth of a start, on a tenth of a core a second.
+ * Returns the files of a command line as controllers are usually started with, or null for any other command line.
+ * This avoids loading the argument parser (picocli): its class files have a version that the JVM does not put into the
+ * class-data archive, and loading them takes a fifth of the start-up time, which is one second on a tenth of a core.
  */
 private fun startFilesOf(args: Array<String>): StartFiles? = when {
     args.size == 2 && args[0] == CONFIG_OPTION -> StartFiles(Path.of(args[1]), null)
@@ -50,18 +51,18 @@
     else -> null
 }
 
-/** Reads the settings and runs a controller until the process is ended. */
+/** Reads the settings and runs a controller until the process ends. Returns one of [ExitCode]. */
 internal fun start(files: StartFiles): Int {
-    val settings = orReport { SettingsFile.read(files.settings) } ?: return ExitCode.USAGE
+    val settings = readOrReport { SettingsFile.read(files.settings) } ?: return ExitCode.USAGE
     val operatorSettings = files.operatorSettings?.let { path ->
-        val initial = orReport { OperatorSettingsFile.read(path) } ?: return ExitCode.USAGE
+        val initial = readOrReport { OperatorSettingsFile.read(path) } ?: return ExitCode.USAGE
         OperatorSettingsFollower(path, initial)
     }
     return runController(settings, operatorSettings)
 }
 
-/** What [read] returns; null, with one line on standard error, if the settings are invalid. */
-internal fun <T : Any> orReport(read: () -> T): T? = try {
+/** Returns the result of [read]; or null, after one line on standard error, if the settings are invalid. */
+internal fun <T : Any> readOrReport(read: () -> T): T? = try {
     read()
 } catch (e: InvalidSettingsException) {
     System.err.println("otterknot: bad settings: ${e.message}")
--- a/src/main/kotlin/io/otterknot/cli/MovesCommand.kt
+++ b/src/main/kotlin/io/otterknot/cli/MovesCommand.kt
@@ -10,7 +10,7 @@
 import java.nio.file.Path
 import kotlin.io.path.useLines
 
-/** `otterknot moves`: what load spread moved, what it left where it was, and why, from controllers' logs. */
+/** `otterknot moves`: reports from controllers' logs which work load spread moved, which it did not move, and why. */
 internal object MovesCommand {
     const val NAME = "moves"
     private const val LOG_OPTION = "--log"
@@ -21,7 +21,7 @@
     fun spec(): CommandSpec {
         val spec = CommandSpec.create().name(NAME)
         spec.usageMessage().description(
-            "Explains from controllers' logs which work load spread moved, which it left where it was, and why.",
+            "Reports from controllers' logs which work load spread moved, which it did not move, and why.",
         )
         spec.mixinStandardHelpOptions(true)
         return spec.addOption(logOption()).addOption(teamOption()).addOption(jsonOption())
@@ -32,18 +32,18 @@
         .type(List::class.java)
         .auxiliaryTypes(Path::class.java)
         .required(true)
-        .description("a controller's log; may be given several times")
+        .description("a controller's log file; may be given several times")
         .build()
 
     private fun teamOption() = OptionSpec.builder(TEAM_OPTION)
         .paramLabel("TEAM")
         .type(String::class.java)
-        .description("this team alone")
+        .description("report only this team")
         .build()
 
     private fun jsonOption() = OptionSpec.builder(JSON_OPTION)
         .type(Boolean::class.java)
-        .description("as JSON")
+        .description("print the report as JSON")
         .build()
 
     fun execute(parsed: CommandLine.ParseResult): Int {
@@ -52,14 +52,14 @@
         val report = try {
             read(logs, team)
         } catch (e: IOException) {
-            System.err.println("otterknot: cannot read ${e.message}")
+            System.err.println("otterknot: cannot read a log file: ${e.message}")
             return ExitCode.USAGE
         }
         print(report, asJson = parsed.matchedOptionValue(JSON_OPTION, false))
         return ExitCode.OK
     }
 
-    /** The report of [logs]; of one [team] alone unless that is null. */
+    /** Returns the report of [logs], limited to one [team] unless that is null. */
     private fun read(logs: List<Path>, team: String?): MoveLogReport {
         val lines = logs.flatMap { log ->
             log.useLines { lines -> lines.filter(MoveReport::isMarked).toList() }
--- a/src/main/kotlin/io/otterknot/cli/WarmupServices.kt
+++ b/src/main/kotlin/io/otterknot/cli/WarmupServices.kt
@@ -3,9 +3,9 @@
 import io.otterknot.http.HttpResponse
 import kotlinx.coroutines.delay
 
-/** A stub of the key-value store and the cloud, for the controller that the warm-up runs. */
+/** A stub of the key-value store and the cloud for the controller of the warm-up. */
 internal object WarmupServices {
-    /** The same answer each time; a path that no case names gets 404, as a key that the store does not hold. */
+    /** Returns a fixed response for each known path, and for any other 404, as the store does for a missing key. */
     suspend fun respond(path: String, body: String): HttpResponse = when {
         path == "/flavors" -> ok(
             """{"Breeds":[{"Name":"g","Cores":16,"Cards":0,"MemoryGb":64,"LocalGb":20,"PullGbPerS":1.0,""" +
@@ -40,6 +40,6 @@
 
     private fun ok(text: String) = HttpResponse(200, text.encodeToByteArray())
 
-    /** How long a watch stays open; without a pause the controller would do nothing but watch. */
+    /** The duration of a watch request. Without a delay the controller would send watch requests continuously. */
     private const val WATCH_DELAY_MS = 100L
 }
--- a/src/main/kotlin/io/otterknot/cli/WarmupSettings.kt
+++ b/src/main/kotlin/io/otterknot/cli/WarmupSettings.kt
@@ -4,11 +4,11 @@
 import io.otterknot.config.SettingsFile
 import java.nio.file.Files
 
-/** The settings of the controller that the warm-up runs. */
+/** The settings of the controller of the warm-up. */
 internal object WarmupSettings {
     /**
-     * Read from a file, as a start does. [servicePort]: where the stub of store and cloud listens on loopback;
-     * [controllerPort]: where the controller shall.
+     * Reads the settings from a temporary file, so that the classes for reading a settings file are loaded too.
+     * [servicePort] is the loopback port of the stub of store and cloud, [controllerPort] the port of the controller.
      */
     fun read(servicePort: Int, controllerPort: Int): Settings {
         val file = Files.createTempFile("otterknot", ".toml")
--- a/src/main/kotlin/io/otterknot/cli/WarmupTraffic.kt
+++ b/src/main/kotlin/io/otterknot/cli/WarmupTraffic.kt
@@ -3,9 +3,9 @@
 import io.otterknot.http.HttpClient
 import kotlinx.coroutines.delay
 
-/** The requests of a user, a worker and the load balancer that the warm-up sends; their answers do not matter. */
+/** Sends requests of a user, a worker and the load balancer to the controller of the warm-up; ignores the responses. */
 internal object WarmupTraffic {
-    /** A job as it is submitted, and as the store holds it. */
+    /** The JSON of a job, both in a submission and in the store. */
     const val JOB = """{"Uid":"j-000001","Ilk":"c","Crew":"t","Sort":"sweep","Rank":"high","Chores":2,""" +
         """"Cores":1.0,"Cards":0.0,"MemoryGb":1.0,"Pelt":"i","SizeGb":1.0,"Breeds":null,"Reach":null,""" +
         """"SamePlace":false,"Scatter":false,"Driftwood":true,""" +
@@ -15,7 +15,7 @@
     private const val PAUSE_MS = 50L
     private const val TIMEOUT_MS = 1_000L
 
-    /** Sends each kind of request to [controller] a number of times; the first meet a port that is not bound yet. */
+    /** Sends each kind of request to [controller] [ROUNDS] times. The first ones fail if its port is not bound yet. */
     suspend fun send(controller: HttpClient) = repeat(ROUNDS) { round ->
         delay(PAUSE_MS)
         controller.call("GET", "/ready", null, TIMEOUT_MS)
--- a/src/main/kotlin/io/otterknot/config/HostPortSetting.kt
+++ b/src/main/kotlin/io/otterknot/config/HostPortSetting.kt
@@ -5,9 +5,9 @@
 private const val MAX_PORT = 65_535
 
 /**
- * Reads the address [text] of the setting [name].
+ * Parses [text], the value of the setting [name], as an address.
  *
- * @throws InvalidSettingsException if it is not `HOST:PORT`
+ * @throws InvalidSettingsException if [text] is not `HOST:PORT`, or the port is above [MAX_PORT]
  */
 fun HostPort.Companion.parse(name: String, text: String): HostPort {
     val port = text.substringAfterLast(':', "").toIntOrNull()
--- a/src/main/kotlin/io/otterknot/config/LoadSpreadSettings.kt
+++ b/src/main/kotlin/io/otterknot/config/LoadSpreadSettings.kt
@@ -1,60 +1,60 @@
 package io.otterknot.config
 
-/** How far load spread (package `rebalance`) goes. */
+/** What load spread (package `rebalance`) does. */
 enum class LoadSpreadMode {
-    /** Nothing of it runs. */
+    /** Load spread does not run. */
     OFF,
 
-    /** It measures and plans, logs its plans, and changes nothing. */
+    /** Load spread measures the load, plans moves and logs the plans, but moves nothing. */
     OBSERVE,
 
-    /** It carries its plans out. */
+    /** Load spread carries out its plans. */
     ACT,
 }
 
-/** The section `load-spread` of the operators' file. */
+/** The section `load-spread` of the operators' file. Weights are relative to one second of waiting. */
 data class LoadSpreadSettings(
     val mode: LoadSpreadMode = LoadSpreadMode.OFF,
-    /** Whether pending tasks are reassigned by the wait that they would save; else by the mean loads alone. */
+    /** Whether pending tasks are reassigned if that shortens their wait; if false, only the mean loads decide. */
     val reassignsTasks: Boolean = true,
     /** Whether work within a team's guaranteed quota goes first, and work of teams above theirs is preempted for it. */
     val guarantees: Boolean = true,
-    /** Whether tasks on machines that are being emptied are stopped where they end sooner elsewhere. */
+    /** Whether tasks on draining machines are stopped if they would complete sooner on another machine. */
     val drains: Boolean = true,
     /**
-     * Whether work within a guaranteed quota goes before more urgent work of teams above theirs, which may be preempted
-     * for it; else only before work, and for work, that is no more urgent.
+     * Whether work within a guaranteed quota has precedence over work of a higher priority of teams above their quota,
+     * and may preempt it. If false, it has precedence over, and may preempt, only work of the same or a lower priority.
      */
     val anyPriority: Boolean = false,
     val planEveryS: Double = 1.0,
-    /** The least gain of a move, in seconds. */
+    /** The minimum gain of a move, in seconds. */
     val marginS: Double = 3.0,
-    /** How long a reassignment takes until the task may start, in seconds. */
+    /** The time from a reassignment until the task may start, in seconds. */
     val reassignmentDelayS: Double = 2.0,
-    /** What a second of fetching counts, against one of waiting: it holds the task's cores. */
+    /** The cost of a second of fetching, which occupies the task's cores. */
     val fetchWeight: Double = 1.0,
-    /** What a second of lost work counts, against one of waiting. */
+    /** The cost of a second of lost work. */
     val lostWorkWeight: Double = 1.5,
-    /** How long a job's tasks stay where they were reassigned to, in seconds. */
+    /** The time after a reassignment during which a job is not reassigned again, in seconds. */
     val returnAfterS: Double = 30.0,
-    /** How long a task that was stopped is not stopped again, in seconds. */
+    /** The time after a stop during which the same task is not stopped again, in seconds. */
     val taskCooldownS: Double = 120.0,
-    /** How long work within a guaranteed quota waits before other work is preempted for it, in seconds. */
+    /** The time that work within a guaranteed quota waits before other work is preempted for it, in seconds. */
     val patienceS: Double = 1.5,
-    /** A task that ends sooner than this is not stopped: its room comes by itself. */
+    /** A task that completes within this time, in seconds, is not stopped: its capacity becomes free soon anyway. */
     val leastRemainingS: Double = 4.0,
     val reassignmentsPerPlan: Int = 3,
-    /** Of the tasks that run in a partition, how many may be being stopped at a time. */
+    /** The maximum share of the running tasks of a partition that may be in the process of being stopped. */
     val partitionStopShare: Double = 0.05,
-    /** The same of one team's tasks there. */
+    /** The maximum share of one team's running tasks of a partition that may be in the process of being stopped. */
     val teamStopShare: Double = 0.1,
-    /** The same of one job's tasks there. */
+    /** The maximum share of one job's running tasks of a partition that may be in the process of being stopped. */
     val jobStopShare: Double = 0.25,
-    /** Of a partition's core-seconds, how many may be thrown away by stops. */
+    /** The maximum share of a partition's core-seconds that may be lost through stops. */
     val lostWorkShare: Double = 0.05,
-    /** How many waiting jobs a plan looks at. */
+    /** The maximum number of waiting jobs that a plan examines. */
     val examinedJobs: Int = 64,
-    /** How many machines a plan looks at for tasks to stop. */
+    /** The maximum number of machines that a plan examines for tasks to stop. */
     val sampledMachines: Int = 128,
 ) {
     val isOn: Boolean get() = mode != LoadSpreadMode.OFF
--- a/src/main/kotlin/io/otterknot/config/OperatorSettings.kt
+++ b/src/main/kotlin/io/otterknot/config/OperatorSettings.kt
@@ -8,15 +8,15 @@
 import java.nio.file.NoSuchFileException
 import java.nio.file.Path
 
-/** The operators' own settings, one section for each subsystem; every subsystem is off by default. */
+/** The settings of the operators' file, one property for each optional subsystem; all are off by default. */
 data class OperatorSettings(val loadSpread: LoadSpreadSettings = LoadSpreadSettings())
 
-/** Reads the operators' file: S-expressions, a list for each subsystem. */
+/** Reads the operators' file, which consists of S-expressions: one list (section) for each subsystem. */
 object OperatorSettingsFile {
     /**
-     * Reads the file at [path]; all subsystems are off if there is no such file.
+     * Reads the file at [path]. Without such a file all optional subsystems are off.
      *
-     * @throws InvalidSettingsException if it cannot be read, or a section or setting is unknown or out of range
+     * @throws InvalidSettingsException if the file cannot be read, or a section or setting is unknown or invalid
      */
     fun read(path: Path): OperatorSettings {
         val text = try {
@@ -30,7 +30,11 @@
         return parse(text)
     }
 
-    /** Reads the [text] of an operators' file; errors as [read]. */
+    /**
+     * Parses the [text] of an operators' file.
+     *
+     * @throws InvalidSettingsException if it is not S-expressions, or a section or setting is unknown or invalid
+     */
     fun parse(text: String): OperatorSettings {
         val sections = sections(text)
         val repeated = sections.groupBy { it.name }.values.firstOrNull { it.size > 1 }
@@ -57,7 +61,10 @@
                 sections.add(SettingsSection.of(form))
             }
         } catch (e: EdnException) {
-            throw InvalidSettingsException("not S-expressions: ${e.message.orEmpty().lineSequence().first()}", e)
+            throw InvalidSettingsException(
+                "not S-expressions, for example (load-spread :mode off): ${e.message.orEmpty().lineSequence().first()}",
+                e,
+            )
         }
     }
 }
--- a/src/main/kotlin/io/otterknot/config/OperatorSettingsFollower.kt
+++ b/src/main/kotlin/io/otterknot/config/OperatorSettingsFollower.kt
@@ -7,18 +7,18 @@
 import java.nio.file.Path
 
 /**
- * Follows the operators' file while a controller runs, so that a subsystem can be switched on or off without a restart.
- * A changed file that is invalid is logged once, and the settings before it stay in force.
+ * Reloads the operators' file when it changes while a controller runs, so that a subsystem can be switched on or off
+ * without a restart. If the changed file is invalid, one error is logged and the previous settings stay in force.
  */
 class OperatorSettingsFollower(private val path: Path, initial: OperatorSettings) {
     private val log = LoggerFactory.getLogger(OperatorSettingsFollower::class.java)
-    private var lastRead = fingerprint()
+    private var lastFingerprint = fingerprint()
 
     /** The settings in force. */
     var current = initial
         private set
 
-    /** Runs until cancelled. */
+    /** Checks the file every [CHECK_INTERVAL_MS] until cancelled. */
     suspend fun follow() {
         while (true) {
             delay(CHECK_INTERVAL_MS)
@@ -26,27 +26,27 @@
         }
     }
 
-    /** Reads the file anew if it has changed. */
+    /** Reloads the file if its [Fingerprint] has changed. */
     fun reloadIfChanged() {
-        val found = fingerprint()
-        if (found == lastRead) return
-        lastRead = found
+        val currentFingerprint = fingerprint()
+        if (currentFingerprint == lastFingerprint) return
+        lastFingerprint = currentFingerprint
         try {
             current = OperatorSettingsFile.read(path)
-            log.info("the operators' file has changed: {}", current)
+            log.info("settings={} operators' file reloaded", current)
         } catch (e: InvalidSettingsException) {
-            log.error("the operators' file has changed and is not taken: {}", e.message)
+            log.error("error=\"{}\" changed operators' file rejected, previous settings stay in force", e.message)
         }
     }
 
-    /** Null: there is no such file. */
+    /** Returns the fingerprint of the file, or null if it does not exist or cannot be read. */
     private fun fingerprint(): Fingerprint? = try {
         Fingerprint(Files.getLastModifiedTime(path).toMillis(), Files.size(path))
     } catch (ignored: IOException) {
         null
     }
 
-    /** Two versions of the file are told apart by modification time and size. */
+    /** Distinguishes two versions of the file by modification time and size. */
     private data class Fingerprint(val modifiedMs: Long, val bytes: Long)
 
     private companion object {
--- a/src/main/kotlin/io/otterknot/config/Settings.kt
+++ b/src/main/kotlin/io/otterknot/config/Settings.kt
@@ -3,10 +3,10 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A setting that stops the start of a controller; the message is one line for the operator. */
+/** Thrown for an invalid setting, which prevents the start of a controller. The message is one line for operators. */
 class InvalidSettingsException(message: String, cause: Throwable? = null) : Exception(message, cause)
 
-/** The platform's settings file: this controller, its peers, and what holds for the whole site. */
+/** The platform's settings file: this controller, its peers, and the settings of the whole site. */
 @Serializable
 data class Settings(
     val label: String,
@@ -18,15 +18,15 @@
     val facts: SiteSettings,
 )
 
-/** Another controller: its name, its zone, and where its peer port listens. */
+/** Another controller: its name, its zone, and the address of its peer port. */
 @Serializable
 data class Member(val label: String, val domain: String, val endpoint: String)
 
-/** Addresses of the outside services: the cloud and the key-value store. */
+/** The addresses of the external services: the cloud and the key-value store. */
 @Serializable
 data class Endpoints(val cloud: String, val state: String)
 
-/** What is the same for all controllers of a site; section `facts` of the file. */
+/** The settings that all controllers of a site share; section `facts` of the file. */
 @Serializable
 data class SiteSettings(
     val nodes: Int,
@@ -50,7 +50,7 @@
     @SerialName("gpus_max") val gpusMax: Double = 0.0,
 )
 
-/** One service-level objective, on a class of jobs or on the whole site; what else is set depends on [kind]. */
+/** One service-level objective, for a job class or the whole site; [kind] decides which other settings apply. */
 @Serializable
 data class ObjectiveSettings(
     val kind: String,
@@ -60,7 +60,7 @@
     val times: Double? = null,
 )
 
-/** The workers' timing in seconds: heartbeat interval, lease, and how long a confirmed cancellation may take. */
+/** The workers' timing in seconds: heartbeat interval, lease, and the longest duration of a confirmed cancellation. */
 @Serializable
 data class WorkerSettings(
     @SerialName("report_s") val heartbeatS: Double,
@@ -68,24 +68,25 @@
     @SerialName("cancel_s") val cancelS: Double,
 )
 
-/** The key-value store's limits: requests and changes per second, KiB of a value, changes of a transaction. */
+/** The key-value store's limits: requests and changes per second, KiB per value, changes per transaction. */
 @Serializable
 data class StoreSettings(
     val rps: Double,
     @SerialName("write_rps") val writeRps: Double,
     @SerialName("value_kb") val valueKb: Double,
     @SerialName("txn_ops") val txnOps: Int,
-    /** Limits that will hold later. */
+    /** Limits that will replace the present ones at an unknown time. */
     val next: AnnouncedStoreLimits = AnnouncedStoreLimits(),
 ) {
-    // The lower of the present and the announced limit: what keeps to it is right before and after the change.
+    // Each is the lower of the present and the announced limit, so that a controller respects the limit before
+    // and after the change.
     val leastValueKb: Double get() = minOf(valueKb, next.valueKb ?: valueKb)
     val leastTxnOps: Int get() = minOf(txnOps, next.txnOps ?: txnOps)
     val leastRps: Double get() = minOf(rps, next.rps ?: rps)
     val leastWriteRps: Double get() = minOf(writeRps, next.writeRps ?: writeRps)
 }
 
-/** Store limits that will replace the present ones without notice; null: that one stays. */
+/** Store limits that will replace the present ones without notice. A limit that is null does not change. */
 @Serializable
 data class AnnouncedStoreLimits(
     val rps: Double? = null,
@@ -94,10 +95,10 @@
     @SerialName("txn_ops") val txnOps: Int? = null,
 )
 
-/** The cloud's limit of calls per second, and by how many seconds its machine list lags. */
+/** The cloud's limit on calls per second, and the lag of its machine list in seconds. */
 @Serializable
 data class CloudSettings(val rps: Double, @SerialName("list_lag_s") val listLagS: Double)
 
-/** What the machine of a controller allows a process. */
+/** Limits that the machine of a controller sets for a process, such as the number of open file descriptors. */
 @Serializable
 data class MachineLimits(@SerialName("fd_limit") val fdLimit: Int = 512)
--- a/src/main/kotlin/io/otterknot/config/SettingsSection.kt
+++ b/src/main/kotlin/io/otterknot/config/SettingsSection.kt
@@ -4,16 +4,25 @@
 import us.bpsm.edn.Symbol
 
 /**
- * One section of the operators' file: a list of its name and of pairs of a keyword and a value. Reading a setting
- * consumes it; what is left at the end is unknown.
+ * One section of the operators' file: a list of the section's name followed by pairs of a keyword and a value. Reading
+ * a setting removes it from [values], so that the settings left after all known ones were read are unknown ones.
  */
 internal class SettingsSection private constructor(val name: String, private val values: MutableMap<String, Any?>) {
-    /** The truth value of [setting], or [default] if it is not set; likewise [number], [count] and [choice]. */
+    /**
+     * Returns the Boolean value of [setting], or [default] if it is not set.
+     *
+     * @throws InvalidSettingsException if the value is not a Boolean
+     */
     fun flag(setting: String, default: Boolean): Boolean = when (val value = consume(setting, default)) {
         is Boolean -> value
         else -> throw invalid(setting, value, "true or false")
     }
 
+    /**
+     * Returns the numeric value of [setting], or [default] if it is not set.
+     *
+     * @throws InvalidSettingsException if the value is not a number in [range]
+     */
     fun number(setting: String, default: Double, range: ClosedFloatingPointRange<Double>): Double {
         val value = consume(setting, default)
         val number = (value as? Number)?.toDouble()
@@ -23,6 +32,11 @@
         return number
     }
 
+    /**
+     * Returns the whole number that is the value of [setting], or [default] if it is not set.
+     *
+     * @throws InvalidSettingsException if the value is not a whole number in [range]
+     */
     fun count(setting: String, default: Int, range: IntRange): Int {
         val value = consume(setting, default.toLong())
         val count = value as? Long
@@ -32,7 +46,11 @@
         return count.toInt()
     }
 
-    /** One of [choices], by its name in lower case. */
+    /**
+     * Returns the entry of [choices] whose name in lower case is the value of [setting], or [default] if it is not set.
+     *
+     * @throws InvalidSettingsException if the value names none of [choices]
+     */
     fun <E : Enum<E>> choice(setting: String, default: E, choices: List<E>): E {
         val value = consume(setting, Symbol.newSymbol(default.name.lowercase()))
         return choices.firstOrNull { value is Symbol && value.prefix.isEmpty() && it.name.lowercase() == value.name }
@@ -40,31 +58,29 @@
     }
 
     /**
-     * Call once all known settings have been read: what is left is unknown.
+     * Checks that no unknown setting is left. Must be called after all known settings have been read.
      *
-     * @throws InvalidSettingsException if something is left
+     * @throws InvalidSettingsException if an unknown setting is left
      */
     fun rejectUnknown() {
         val unknown = values.keys.firstOrNull() ?: return
         throw InvalidSettingsException("$name: unknown setting :$unknown")
     }
 
-    private fun consume(setting: String, default: Any): Any? = if (setting in
-        values
-    ) {
+    private fun consume(setting: String, default: Any): Any? = if (setting in values) {
         values.remove(setting)
     } else {
         default
     }
 
-    private fun invalid(setting: String, value: Any?, wanted: String) =
-        InvalidSettingsException("$name: :$setting is $value, not $wanted")
+    private fun invalid(setting: String, value: Any?, allowed: String) =
+        InvalidSettingsException("$name: :$setting is $value, not $allowed")
 
     companion object {
         /**
-         * Reads one form of the file.
+         * Converts one S-expression of the file to a section.
          *
-         * @throws InvalidSettingsException if it is not a list of a name and of pairs
+         * @throws InvalidSettingsException if [form] is not a list of a name and of pairs of a keyword and a value
          */
         fun of(form: Any?): SettingsSection {
             val items = form as? List<*> ?: throw InvalidSettingsException("not a section in parentheses: $form")
@@ -77,14 +93,14 @@
         }
 
         private fun addPair(section: String, pair: List<Any?>, values: MutableMap<String, Any?>) {
-            fun demand(holds: Boolean, message: String) {
-                if (!holds) throw InvalidSettingsException("$section: $message")
+            fun requireValid(isValid: Boolean, message: String) {
+                if (!isValid) throw InvalidSettingsException("$section: $message")
             }
             val keyword = pair[0] as? Keyword
                 ?: throw InvalidSettingsException("$section: ${pair[0]} is not a setting, which begins with a colon")
             val setting = keyword.name
-            demand(pair.size == 2, ":$setting has no value")
-            demand(setting !in values, ":$setting stands twice")
+            requireValid(pair.size == 2, ":$setting has no value")
+            requireValid(setting !in values, ":$setting stands twice")
             values[setting] = pair[1]
         }
     }
--- a/src/main/kotlin/io/otterknot/metrics/Metrics.kt
+++ b/src/main/kotlin/io/otterknot/metrics/Metrics.kt
@@ -19,18 +19,18 @@
         counters.getAndAdd(name, increment.toLong())
     }
 
-    /** Records [durationMs] under [name]; what is beyond [MAX_DURATION_MS] counts as that. */
+    /** Records [durationMs] in the histogram [name], limited to the range from 0 to [MAX_DURATION_MS]. */
     fun recordDuration(name: String, durationMs: Long) {
         durations.getOrPut(name) { Histogram(MAX_DURATION_MS, SIGNIFICANT_DIGITS) }
             .recordValue(durationMs.coerceIn(0, MAX_DURATION_MS))
     }
 
-    /** Logs and resets everything if [LOG_INTERVAL_MS] have passed since the last time. */
+    /** Logs and resets all counters and histograms if [LOG_INTERVAL_MS] have passed since the last reset. */
     fun logPeriodically() {
         val intervalMs = nowMs() - intervalStartMs
         if (intervalMs < LOG_INTERVAL_MS) return
         log.info(
-            "metrics interval_s={} counts: {}; duration_ms (p50, p99): {}",
+            "interval_s={} metrics, counts: {}; duration_ms (p50, p99): {}",
             intervalMs / MS_PER_S,
             formatCounts(),
             formatDurations(),
@@ -40,13 +40,14 @@
         durations.values.forEach { it.reset() }
     }
 
+    /** Returns each counter's name and value, sorted by name. */
     fun formatCounts(): String {
         val sorted = sortedMapOf<String, Long>()
         counters.forEach { name, count -> sorted[name] = count }
         return sorted.entries.joinToString { "${it.key} ${it.value}" }
     }
 
-    /** By name the median and the 99th percentile in milliseconds. */
+    /** Returns each histogram's name, median and 99th percentile in milliseconds, sorted by name. */
     fun formatDurations(): String = durations.entries.sortedBy { it.key }.filter { it.value.totalCount > 0 }
         .joinToString { (name, histogram) ->
             "$name ${histogram.getValueAtPercentile(MEDIAN)}, ${histogram.getValueAtPercentile(HIGH_PERCENTILE)}"
--- a/src/test/kotlin/io/otterknot/architecture/PackageDependencyTest.kt
+++ b/src/test/kotlin/io/otterknot/architecture/PackageDependencyTest.kt
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Which package may use which: dependencies between packages go in one direction, read from the compiled classes. */
+/** Checks on the compiled classes that packages have no cyclic dependencies and use only the packages allowed below. */
 class PackageDependencyTest {
     @Test
-    fun `packages have no cycle`() {
+    fun `packages have no cyclic dependencies`() {
         assertTrue(classes.size > 100, "found the classes")
         slices().matching("$ROOT.(*)..").should().beFreeOfCycles().check(classes)
     }
@@ -23,7 +23,7 @@
     }
 
     @Test
-    fun `a package uses only those that the table allows`() {
+    fun `a package uses only the packages that the table allows`() {
         val forbidden = usesBetweenPackages().filterNot { (edge, _) -> edge.used in allowedFor(edge.user) }
         val examples = forbidden.map { (edge, descriptions) -> "$edge: ${descriptions.first()}" }
         assertEquals(emptyList<String>(), examples, "uses that the table does not allow")
@@ -31,7 +31,7 @@
 
     private fun allowedFor(name: String): Set<String> = PACKAGES.single { it.name == name }.mayUse
 
-    /** Each pair of packages of which one uses the other, with the descriptions of these uses. */
+    /** Maps each pair of a package and another package that it uses to the descriptions of these uses. */
     private fun usesBetweenPackages(): Map<Edge, List<String>> {
         val uses = HashMap<Edge, MutableList<String>>()
         for (dependency in classes.flatMap { it.directDependenciesFromSelf }) {
@@ -43,7 +43,7 @@
         return uses
     }
 
-    /** The package below the root; null: not one of otterknot's. */
+    /** Returns the name of the package directly below [ROOT], or null if [fullName] is outside [ROOT]. */
     private fun packageOf(fullName: String): String? =
         if (fullName.startsWith("$ROOT.")) fullName.removePrefix("$ROOT.").substringBefore('.') else null
 
@@ -51,8 +51,8 @@
         override fun toString() = "$user -> $used"
     }
 
-    /** [job]: what the package is for, in one sentence; [mayUse]: the packages that it may use. */
-    private data class PackageEntry(val name: String, val job: String, val mayUse: Set<String>)
+    /** [purpose] is the purpose of the package in one sentence, [mayUse] the packages that it may use. */
+    private data class PackageEntry(val name: String, val purpose: String, val mayUse: Set<String>)
 
     private companion object {
         const val ROOT = "io.otterknot"
@@ -61,15 +61,15 @@
             .withImportOption(ImportOption.DoNotIncludeTests())
             .importPackages(ROOT)
 
-        /** [mayUse]: names of packages, divided by blanks. */
-        fun entry(name: String, job: String, mayUse: String = "") =
-            PackageEntry(name, job, mayUse.split(' ').filter(String::isNotEmpty).toSet())
+        /** Creates an entry; [mayUse] lists package names, separated by spaces. */
+        fun entry(name: String, purpose: String, mayUse: String = "") =
+            PackageEntry(name, purpose, mayUse.split(' ').filter(String::isNotEmpty).toSet())
 
-        /** From the lowest layer to the highest; a package that moves is moved here as well. */
+        /** The packages from the lowest layer to the highest. Keep this order when a package changes its layer. */
         val PACKAGES = listOf(
             entry(
                 "wire",
-                "Messages of workers, jobs and the cloud as they stand on the wire.",
+                "Wire format of the messages of workers, jobs and the cloud.",
             ),
             entry(
                 "ratelimit",
@@ -77,11 +77,11 @@
             ),
             entry(
                 "metrics",
-                "Counts and times what a controller does.",
+                "Counters and latency histograms of a controller.",
             ),
             entry(
                 "time",
-                "Constants of the steady clock that several packages share.",
+                "Constants of the monotonic clock that several packages share.",
             ),
             entry(
                 "net",
@@ -89,7 +89,7 @@
             ),
             entry(
                 "config",
-                "Reads, checks and follows the settings.",
+                "Reads and checks the settings files, and reloads the operators' file when it changes.",
                 mayUse = "net",
             ),
             entry(
@@ -104,12 +104,12 @@
             ),
             entry(
                 "cloud",
-                "Client of the cloud's interface for machines.",
+                "Client of the cloud's machine API.",
                 mayUse = "http ratelimit wire",
             ),
             entry(
                 "store",
-                "Client of the key-value store, and the replica that follows it.",
+                "Client of the key-value store, and the replica of its contents.",
                 mayUse = "http metrics ratelimit records wire",
             ),
             entry(
@@ -149,7 +149,7 @@
             ),
             entry(
                 "rebalance",
-                "Spreads the load of teams over partitions, by plans of moves.",
+                "Spreads the load of teams over partitions by planned moves of tasks.",
                 mayUse = "config jobs partition reassignment records scheduling wire",
             ),
             entry(
@@ -169,7 +169,7 @@
             ),
             entry(
                 "controller",
-                "Puts a controller together and runs it.",
+                "Creates the parts of a controller and runs it.",
                 mayUse = "api autoscaling cloud config heartbeat http jobs leadership metrics net partition peer " +
                     "quota ratelimit reassignment rebalance records scheduling store wire",
             ),
--- a/src/test/kotlin/io/otterknot/architecture/RuntimeLinkageTest.kt
+++ b/src/test/kotlin/io/otterknot/architecture/RuntimeLinkageTest.kt
@@ -9,12 +9,12 @@
 import java.nio.file.Path
 import kotlin.streams.asSequence
 
-/** What the compiler made of the sources, as far as a quick start depends on it. */
+/** Checks properties of the compiled classes that a fast start depends on. */
 class RuntimeLinkageTest {
-    /** Each call site that is linked at run time takes milliseconds at the first call, again after every restart. */
+    /** Linking a call site at run time takes milliseconds at its first call, after every start of the process. */
     @ParameterizedTest
     @ValueSource(strings = ["java/lang/invoke/StringConcatFactory", "java/lang/invoke/LambdaMetafactory"])
-    fun `nothing is linked at run time`(factory: String) {
+    fun `no call site is linked at run time`(factory: String) {
         val classes = Path.of(Controller::class.java.protectionDomain.codeSource.location.toURI())
         val files = Files.walk(classes).use { paths -> paths.asSequence().filter { "$it".endsWith(".class") }.toList() }
         assertTrue(files.size > 100, "found the classes")
--- a/src/test/kotlin/io/otterknot/config/OperatorSettingsTest.kt
+++ b/src/test/kotlin/io/otterknot/config/OperatorSettingsTest.kt
@@ -10,7 +10,7 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** The operators' own file. */
+/** Parsing and reloading of the operators' file. */
 class OperatorSettingsTest {
     @ParameterizedTest
     @CsvSource(
@@ -33,14 +33,14 @@
             "(load-spread :mode act| not S-expressions",
         ],
     )
-    fun `what is bad or unknown is refused in one line`(text: String, message: String) {
-        val refusal = assertThrows(InvalidSettingsException::class.java) { OperatorSettingsFile.parse(text) }
-        assertEquals(message, refusal.message.orEmpty().take(message.length))
-        assertFalse('\n' in refusal.message.orEmpty())
+    fun `an invalid or unknown section or setting is rejected with a one-line message`(text: String, message: String) {
+        val exception = assertThrows(InvalidSettingsException::class.java) { OperatorSettingsFile.parse(text) }
+        assertEquals(message, exception.message.orEmpty().take(message.length))
+        assertFalse('\n' in exception.message.orEmpty())
     }
 
     @Test
-    fun `what is named is taken, the rest has its default, and comments are passed over`() {
+    fun `settings in the file are applied, all others have their defaults, and comments are ignored`() {
         val text = "; a comment\n(load-spread :mode act :margin-s 5 :hand-overs false :sampled-machines 7)"
         val expected =
             LoadSpreadSettings(LoadSpreadMode.ACT, marginS = 5.0, reassignsTasks = false, sampledMachines = 7)
@@ -49,10 +49,12 @@
     }
 
     @Test
-    fun `the file is followed, one that is bad or gone included`(@TempDir directory: Path) {
+    fun `a changed or deleted file takes effect and an invalid file leaves the settings unchanged`(
+        @TempDir directory: Path,
+    ) {
         val file = directory.resolve("operators.sexp")
         val follower = OperatorSettingsFollower(file, OperatorSettingsFile.read(file))
-        assertFalse(follower.current.loadSpread.isOn, "no file: all is off")
+        assertFalse(follower.current.loadSpread.isOn, "without a file all subsystems are off")
         val steps = listOf(
             "(load-spread :mode act)" to LoadSpreadMode.ACT,
             "(load-spread :mode wrong)" to LoadSpreadMode.ACT,
--- a/src/test/kotlin/io/otterknot/config/SettingsFileTest.kt
+++ b/src/test/kotlin/io/otterknot/config/SettingsFileTest.kt
@@ -58,7 +58,7 @@
     }
 
     @Test
-    fun `announced limits are read and what they do not name keeps its value`() {
+    fun `announced limits are read, and a limit without an announced value keeps its present one`() {
         val state = SettingsFile.parse(
             validSettings.replace(
                 "[facts.cloud]",
@@ -74,13 +74,13 @@
 
     @Test
     fun `a deployment of five controllers is read and each of its zones has a strict acquisition order`() {
-        val more = (2..4).joinToString("") {
+        val otherMembers = (2..4).joinToString("") {
             "\n[[members]]\nlabel = \"n$it\"\ndomain = \"${"abc"[it % 3]}\"\nendpoint = \"127.0.0.1:900$it\"\n"
         }
         val settings = SettingsFile.parse(
             validSettings.replace(
                 "\n[endpoints]",
-                "$more\n[endpoints]",
+                "$otherMembers\n[endpoints]",
             ).replace("nodes = 2", "nodes = 5").replace("[\"a\", \"b\"]", "[\"a\", \"b\", \"c\"]"),
         )
         assertEquals(4, settings.members.size)
@@ -111,10 +111,10 @@
             "[endpoints]|[elsewhere]",
         ],
     )
-    fun `an invalid setting is refused with a message of one line`(from: String, to: String?) {
+    fun `an invalid setting is rejected with a one-line message`(from: String, to: String?) {
         val bad = validSettings.replace(from, to.orEmpty().replace("\\n", "\n"))
         assertTrue(bad != validSettings)
-        val refused = assertThrows(InvalidSettingsException::class.java) { SettingsFile.parse(bad) }
-        assertEquals(1, refused.message!!.lines().size)
+        val exception = assertThrows(InvalidSettingsException::class.java) { SettingsFile.parse(bad) }
+        assertEquals(1, exception.message!!.lines().size)
     }
 }
