--- a/scripts/cpu_shares.py
+++ b/scripts/cpu_shares.py
@@ -1,54 +1,55 @@
 #!/usr/bin/env python3
-"""Shares of a controller's processor time by cause, from the call stacks that perf has sampled.
+"""Prints the shares of a controller's processor time by cause, from call stacks sampled with perf.
 
-Run the load (README, "Measure"), and while it runs, with PID the controller's:
+Start the load (README, "Measure"). While it runs, with the process id PID of the controller:
 
     perf record -F 999 -g -p PID -o perf.data -- sleep 15
     jcmd PID Compiler.perfmap
     scripts/cpu_shares.py perf.data
 
-The JVM needs -XX:+PreserveFramePointer for this. The first cause whose text stands in a stack counts.
+The controller's JVM needs the option -XX:+PreserveFramePointer for this. A sample counts for the first entry of CAUSES
+that matches the thread's name or the call stack.
 """
 import collections
 import subprocess
 import sys
 
-# Cause, text in a stack or None, start of a thread's name or None.
+# Cause, text to find in the call stack or None, start of the thread's name or None.
 CAUSES = [
     ("compiler (C1)", None, "C1 Comp"),
     ("garbage collection, VM", None, "VM Thread"),
-    ("report: parse", "parseReport", None),
+    ("heartbeat: parsing", "parseReport", None),
     ("placement", "placement.Scheduler", None),
-    ("report: decide", "Partition.report", None),
-    ("report: encode", "HttpResponse$Companion.json", None),
-    ("users", "UserApi", None),
-    ("HTTP heads", "HttpHead", None),
+    ("heartbeat: decision", "Partition.report", None),
+    ("heartbeat: response encoding", "HttpResponse$Companion.json", None),
+    ("user requests", "UserApi", None),
+    ("HTTP: request heads", "HttpHead", None),
     ("HTTP: sending", "HttpServer.send", None),
-    ("HTTP: the rest", "HttpServer", None),
+    ("HTTP: other", "HttpServer", None),
     ("watch and replica", "Replica", None),
     ("state service", "StateClient", None),
     ("HTTP client", "HttpClient", None),
-    ("records", "PartitionRecorder", None),
-    ("sweeps", "Partition.sweep", None),
-    ("loop: waiting for sockets", "awaitSockets", None),
-    ("loop: timers", "runDueTimers", None),
-    ("loop: sockets", "TcpConnection", None),
+    ("record writes", "PartitionRecorder", None),
+    ("partition sweeps", "Partition.sweep", None),
+    ("event loop: waiting for sockets", "awaitSockets", None),
+    ("event loop: timers", "runDueTimers", None),
+    ("event loop: sockets", "TcpConnection", None),
 ]
 
 
-def samples(file):
-    text = subprocess.run(
+def read_samples(file):
+    output = subprocess.run(
         ["perf", "script", "-i", file, "-F", "comm,ip,sym"], capture_output=True, text=True, check=True
     ).stdout
-    for block in text.split("\n\n"):
+    for block in output.split("\n\n"):
         thread, _, stack = block.strip().partition("\n")
         if thread:
             yield thread, stack
 
 
-def cause(thread, stack):
-    for name, text, thread_name in CAUSES:
-        if (thread_name and thread.startswith(thread_name)) or (text and text in stack):
+def cause_of(thread, stack):
+    for name, stack_text, thread_prefix in CAUSES:
+        if (thread_prefix and thread.startswith(thread_prefix)) or (stack_text and stack_text in stack):
             return name
     return "other (" + thread.strip() + ")"
 
@@ -56,8 +57,8 @@
 def main():
     counts = collections.Counter()
     interpreted = collections.Counter()
-    for thread, stack in samples(sys.argv[1]):
-        name = cause(thread, stack)
+    for thread, stack in read_samples(sys.argv[1]):
+        name = cause_of(thread, stack)
         counts[name] += 1
         if "Interpreter" in stack.partition("\n")[0]:
             interpreted[name] += 1
--- a/src/test/kotlin/io/otterknot/load/LoopbackLoad.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackLoad.kt
@@ -15,21 +15,24 @@
 import kotlin.random.Random
 
 /**
- * One controller process on loopback with a state service, a cloud, workers and users of this process. It says what a
- * report costs the controller, by thread, and how much memory it takes. Not a test: figures depend on the machine.
+ * Runs one controller process on loopback against a state service, a cloud, workers and users that are simulated in
+ * this process. Prints the processor time of the controller, by thread and per heartbeat, and its memory. This is not a
+ * test: the figures depend on the machine.
  *
  *     LoopbackLoad MACHINES SECONDS [--operators FILE] [JVM OPTION...]
  */
 object LoopbackLoad {
     private const val WARM_UP_S = 20L
     private const val PORT_BASE = 18_080
-    private const val JOB_EVERY_MS = 500L
-    private const val TASKS_A_JOB = 16
-    private const val TASK_RUN_MS = 15_000L
-    private const val IMAGES = 8
 
-    /** What is told of the process, as the kernel names it. */
-    private val SHOWN = listOf("VmHWM", "VmRSS", "VmData", "Threads")
+    /** Interval between submissions with 100 machines; it is inversely proportional to the number of machines. */
+    private const val JOB_INTERVAL_MS = 500L
+    private const val TASKS_PER_JOB = 16
+    private const val MEAN_TASK_RUN_MS = 15_000L
+    private const val IMAGE_COUNT = 8
+
+    /** The fields of `/proc/PID/status` that are printed. */
+    private val STATUS_FIELDS = listOf("VmHWM", "VmRSS", "VmData", "Threads")
 
     @JvmStatic
     fun main(args: Array<String>) {
@@ -39,67 +42,78 @@
         val options = args.drop(if (operators == null) 2 else 4)
         val loop = EventLoop()
         loop.run {
-            CostRun(this, loop, machines).play(seconds, options, operators)
+            CostMeasurement(this, loop, machines).run(seconds, options, operators)
             System.exit(0)
         }
     }
 
-    private class CostRun(private val scope: CoroutineScope, private val loop: EventLoop, private val machines: Int) :
-        TaskObserver {
+    private class CostMeasurement(
+        private val scope: CoroutineScope,
+        private val loop: EventLoop,
+        private val machines: Int,
+    ) : Workload {
         private val site = LoopbackSite(scope, loop, PORT_BASE, listOf("a"), machines, listOf(TeamSettings("red")))
         private val specs = HashMap<String, JobSpec>()
         private val random = Random(1)
         private var answered = 0
-        private var refused = 0
-        private var started = 0
-        private var polled = 0
+        private var unanswered = 0
+        private var taskStarts = 0
+        private var statusQueries = 0
 
-        override fun spec(job: String): JobSpec? = specs[job]
+        override fun jobSpec(job: String): JobSpec? = specs[job]
 
-        override fun runMs(task: String): Long = TASK_RUN_MS / 2 + random.nextLong(TASK_RUN_MS)
+        override fun runMs(task: String): Long = MEAN_TASK_RUN_MS / 2 + random.nextLong(MEAN_TASK_RUN_MS)
 
-        override fun started(task: String) {
-            started++
+        override fun taskStarted(task: String) {
+            taskStarts++
         }
 
-        override fun reported(answered: Boolean) {
-            if (answered) this.answered++ else refused++
+        override fun heartbeatSent(answered: Boolean) {
+            if (answered) this.answered++ else unanswered++
         }
 
-        suspend fun play(seconds: Long, options: List<String>, operators: Path?) {
-            site.listen()
+        suspend fun run(seconds: Long, options: List<String>, operators: Path?) {
+            site.startServices()
             val process = site.startController(site.labels.single(), options, operators)
             try {
                 delay(2_000)
                 site.machines.keys.forEach { name ->
-                    scope.launch { LoopbackWorker(loop, site, name, this@CostRun).run() }
+                    scope.launch { LoopbackWorker(loop, site, name, this@CostMeasurement).run() }
                 }
                 scope.launch { submitJobs() }
                 delay(WARM_UP_S * 1000)
-                println("after $WARM_UP_S s: ${threadTicks(process.pid()).values.sum() * 10} ms of processor time")
-                val before = threadTicks(process.pid())
-                val counts = listOf(answered, refused, started, polled)
+                println("warm-up of $WARM_UP_S s: processor time ${threadTicks(process.pid()).values.sum() * 10} ms")
+                val ticksBefore = threadTicks(process.pid())
+                val countsBefore = listOf(answered, unanswered, taskStarts, statusQueries)
                 delay(seconds * 1000)
-                tell(process, before, counts, seconds)
+                printCosts(process, ticksBefore, countsBefore, seconds)
             } finally {
                 process.destroyForcibly()
             }
         }
 
-        private fun tell(process: Process, before: Map<String, Long>, counts: List<Int>, seconds: Long) {
-            val after = threadTicks(process.pid())
-            val reports = answered - counts[0]
-            println("in $seconds s $reports reports answered, ${refused - counts[1]} not")
-            println("${started - counts[2]} starts, ${polled - counts[3]} polls")
-            val used = after.mapValues { (it.value - (before[it.key] ?: 0)) * 10 }
-            val perReport = used.values.sum().toDouble() / reports
-            println("processor ms: ${used.values.sum()}, ${"%.3f".format(perReport)} a report")
-            used.entries.sortedByDescending { it.value }.take(12).forEach { println("  ${it.key}: ${it.value} ms") }
+        private fun printCosts(
+            process: Process,
+            ticksBefore: Map<String, Long>,
+            countsBefore: List<Int>,
+            seconds: Long,
+        ) {
+            val ticksAfter = threadTicks(process.pid())
+            val heartbeats = answered - countsBefore[0]
+            println("in $seconds s: $heartbeats heartbeats answered, ${unanswered - countsBefore[1]} unanswered")
+            println("${taskStarts - countsBefore[2]} task starts, ${statusQueries - countsBefore[3]} status queries")
+            val usedMs = ticksAfter.mapValues { (it.value - (ticksBefore[it.key] ?: 0)) * 10 }
+            val msPerHeartbeat = usedMs.values.sum().toDouble() / heartbeats
+            println("processor time: ${usedMs.values.sum()} ms, ${"%.3f".format(msPerHeartbeat)} ms/heartbeat")
+            usedMs.entries.sortedByDescending { it.value }.take(12).forEach { println("  ${it.key}: ${it.value} ms") }
             val status = Path.of("/proc/${process.pid()}/status").readText().lines()
-            println(status.filter { line -> SHOWN.any(line::startsWith) })
+            println(status.filter { line -> STATUS_FIELDS.any(line::startsWith) })
         }
 
-        /** Ticks (10 ms) by name of thread. */
+        /**
+         * Returns the processor time of the process by thread name, in ticks of 10 ms. Threads of the same name are
+         * added up. Fields 11 and 12 (from 0) after the thread name are the time in user mode and in the kernel.
+         */
         private fun threadTicks(pid: Long): Map<String, Long> {
             val ticks = HashMap<String, Long>()
             for (task in Path.of("/proc/$pid/task").listDirectoryEntries()) {
@@ -115,16 +129,16 @@
             val client = HttpClient(loop, site.address(site.labels.single()), maxIdle = 8)
             var number = 0
             while (true) {
-                delay(JOB_EVERY_MS * 100 / machines)
-                val image = "i-${++number % IMAGES}"
-                val spec = smallJob("j-%06d".format(number), TASKS_A_JOB).copy(cores = 4.0, image = image)
+                delay(JOB_INTERVAL_MS * 100 / machines)
+                val image = "i-${++number % IMAGE_COUNT}"
+                val spec = smallJob("j-%06d".format(number), TASKS_PER_JOB).copy(cores = 4.0, image = image)
                 specs[spec.id] = spec
                 scope.launch {
                     client.call("POST", "/submissions", submissionBody(spec), 5_000)
                     repeat(6) {
                         delay(5_000)
                         client.call("GET", "/submissions/${spec.id}", null, 2_000)
-                        polled++
+                        statusQueries++
                     }
                 }
             }
--- a/src/test/kotlin/io/otterknot/load/LoopbackSite.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackSite.kt
@@ -22,40 +22,46 @@
 import java.nio.file.Path
 import kotlin.random.Random
 
-/** A site on loopback: a state service and a cloud of this process, and controllers that are processes of their own. */
+/**
+ * A site on loopback. The state service and the cloud are simulated in this process; each controller runs in a process
+ * of its own.
+ */
 class LoopbackSite(
     private val scope: CoroutineScope,
     private val loop: EventLoop,
     private val portBase: Int,
-    /** One controller in each zone. */
+    /** The zones of the site; one controller runs in each. */
     val zones: List<String>,
     private val machinesPerZone: Int,
     private val teams: List<TeamSettings>,
-    private val changesPerS: Double = 50.0,
+    private val writesPerS: Double = 50.0,
 ) {
     private val startedNs = System.nanoTime()
+
+    /** Returns the milliseconds since the site was created. */
     val nowMs = { (System.nanoTime() - startedNs) / 1_000_000 }
-    private val state = FakeKeyValueStore(scope, Random(1), nowMs)
+    private val keyValueStore = FakeKeyValueStore(scope, Random(1), nowMs)
     val labels = zones.indices.map { "holt-$it" }
 
-    /** The names of all machines, with their zones. */
+    /** The zone of each machine, by machine name. */
     val machines: Map<String, String> = zones.flatMapIndexed { index, zone ->
         List(machinesPerZone) { "m-%06d".format(index * machinesPerZone + it) to zone }
     }.toMap()
 
-    fun address(label: String) = HostPort("127.0.0.1", portBase + labels.indexOf(label) * PORTS_EACH)
+    fun address(label: String) = HostPort("127.0.0.1", portBase + labels.indexOf(label) * PORTS_PER_CONTROLLER)
 
     private fun peerAddress(label: String) = "127.0.0.1:${address(label).port + 1}"
 
-    private val statePort = portBase + STATE_PORT
-    private val cloudPort = portBase + CLOUD_PORT
+    private val statePort = portBase + STATE_PORT_OFFSET
+    private val cloudPort = portBase + CLOUD_PORT_OFFSET
 
-    suspend fun listen() {
-        listen(statePort, state.link("all"))
-        listen(cloudPort, ::cloud)
+    /** Starts the state service and the cloud. */
+    suspend fun startServices() {
+        serve(statePort, keyValueStore.link("all"))
+        serve(cloudPort, ::cloud)
     }
 
-    private suspend fun listen(port: Int, transport: Transport) {
+    private suspend fun serve(port: Int, transport: Transport) {
         val server = HttpServer(loop, 4_000, MAX_BODY_BYTES * 4) { request ->
             when (val reply = transport.call(request.method, request.path + request.query, request.body, 60_000)) {
                 is Reply.Answer -> HttpResponse(reply.status, reply.body)
@@ -66,28 +72,29 @@
         scope.launch { server.serve(this, listener) }
     }
 
-    /** All machines are there from the start, and no more are to be had. */
+    /** Answers requests to the cloud: all machines exist from the start, and requests for more are refused. */
     private suspend fun cloud(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
-        val text = when {
+        val responseBody = when {
             target == "/flavors" -> WireJson.encodeToString(MachineTypes.serializer(), MachineTypes(listOf(TYPE)))
             target.startsWith("/machines/release") -> "{}"
-            method == "GET" && "After" !in target -> listOfMachines()
+            method == "GET" && "After" !in target -> machineList()
             method == "GET" -> """{"Holts":[],"More":false}"""
             else -> return Reply.Answer(503, """{"error":"no capacity"}""".encodeToByteArray())
         }
-        return Reply.Answer(200, text.encodeToByteArray())
+        return Reply.Answer(200, responseBody.encodeToByteArray())
     }
 
-    private fun listOfMachines(): String {
-        val listed = machines.entries.take(LISTED).map { (name, zone) ->
+    private fun machineList(): String {
+        val listed = machines.entries.take(MACHINES_PER_PAGE).map { (name, zone) ->
             ListedMachine(name, null, TYPE.name, zone, false, ListedMachineState.RUNNING, nowMs() / 1000.0)
         }
         return WireJson.encodeToString(MachineList.serializer(), MachineList(listed))
     }
 
     /**
-     * Starts a controller as `deploy/service.toml` says, with further [options] of the JVM and, if given, an operators'
-     * file; its log goes to [log], or to this process' own.
+     * Starts the controller [label] with the command in `deploy/service.toml`, the additional JVM [options] and, if not
+     * null, the operator settings file [operators]. The controller's standard error is appended to [log]; if that is
+     * null, it goes to the standard error of this process.
      */
     fun startController(
         label: String,
@@ -95,14 +102,15 @@
         operators: Path? = null,
         log: File? = null,
     ): Process {
-        val file = Files.createTempFile("loopback", ".toml")
-        Files.writeString(file, settings(label))
+        val settingsFile = Files.createTempFile("loopback", ".toml")
+        Files.writeString(settingsFile, settings(label))
         val command = Files.readAllLines(Path.of("deploy/service.toml")).first { it.startsWith("run = ") }
             .substringAfter('"').substringBeforeLast('"').split(' ')
-        val program = command.indexOf("-jar")
-        val jar = command.subList(program, program + 2)
-        val last = listOfNotNull("--operators".takeIf { operators != null }, operators?.toString())
-        val arguments = command.take(program) + options + jar + last + listOf("--config", file.toString())
+        val jarIndex = command.indexOf("-jar")
+        val jarArguments = command.subList(jarIndex, jarIndex + 2)
+        val operatorArguments = listOfNotNull("--operators".takeIf { operators != null }, operators?.toString())
+        val arguments = command.take(jarIndex) + options + jarArguments + operatorArguments +
+            listOf("--config", settingsFile.toString())
         val builder = ProcessBuilder(arguments).inheritIO()
         if (log != null) builder.redirectError(ProcessBuilder.Redirect.appendTo(log))
         return builder.start()
@@ -113,7 +121,7 @@
 domain = "${zones[labels.indexOf(label)]}"
 bind = "127.0.0.1:${address(label).port}"
 peer_listen = "${peerAddress(label)}"
-${labels.filter { it != label }.joinToString("") { member(it) }}
+${labels.filter { it != label }.joinToString("") { memberSettings(it) }}
 [endpoints]
 cloud = "127.0.0.1:$cloudPort"
 state = "127.0.0.1:$statePort"
@@ -122,7 +130,7 @@
 nodes = ${labels.size}
 zones = [${zones.joinToString { "\"$it\"" }}]
 clock_error_ms = 250.0
-${teams.joinToString("") { team(it) }}
+${teams.joinToString("") { teamSettings(it) }}
 [[facts.objectives]]
 kind = "wait"
 class = "k"
@@ -137,8 +145,8 @@
 cancel_s = 35.0
 
 [facts.state]
-rps = ${changesPerS * 3}
-write_rps = $changesPerS
+rps = ${writesPerS * 3}
+write_rps = $writesPerS
 value_kb = 8.0
 txn_ops = 40
 
@@ -152,14 +160,14 @@
 fd_limit = 2000
 """
 
-    private fun member(label: String) = """
+    private fun memberSettings(label: String) = """
 [[members]]
 label = "$label"
 domain = "${zones[labels.indexOf(label)]}"
 endpoint = "${peerAddress(label)}"
 """
 
-    private fun team(team: TeamSettings) = """
+    private fun teamSettings(team: TeamSettings) = """
 [[facts.teams]]
 name = "${team.name}"
 cpus = ${team.cpus}
@@ -169,12 +177,13 @@
 """
 
     companion object {
-        private const val PORTS_EACH = 2
-        private const val STATE_PORT = 20
-        private const val CLOUD_PORT = 21
+        /** The port for workers and users, and after it the port for the other controllers. */
+        private const val PORTS_PER_CONTROLLER = 2
+        private const val STATE_PORT_OFFSET = 20
+        private const val CLOUD_PORT_OFFSET = 21
 
-        /** A page of the cloud's list. */
-        private const val LISTED = 500
+        /** The cloud lists at most this many machines; all further pages of the list are empty. */
+        private const val MACHINES_PER_PAGE = 500
 
         val TYPE = MachineType("big", 16.0, 0.0, 128.0, 20.0, 1.0, 1.0, 0.4, 3.0, listOf("a", "b", "c"))
     }
--- a/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
+++ b/src/test/kotlin/io/otterknot/load/LoopbackWorker.kt
@@ -17,147 +17,152 @@
 import java.util.TreeMap
 import kotlin.random.Random
 
-/** What happens to tasks on workers. */
-interface TaskObserver {
-    /** The job that a task belongs to; null: nobody has submitted it. */
-    fun spec(job: String): JobSpec?
+/** Provides workers with the jobs and the run times of tasks, and is notified of what happens on the workers. */
+interface Workload {
+    /** Returns the specification of [job], or null if it was not submitted. */
+    fun jobSpec(job: String): JobSpec?
 
-    /** How long [task] runs. */
+    /** Returns how long [task] is to run. */
     fun runMs(task: String): Long
 
-    fun started(task: String) {}
+    fun taskStarted(task: String) {}
 
-    fun completed(task: String) {}
+    fun taskCompleted(task: String) {}
 
-    /** [task] was stopped when it had run for [ranMs]. */
-    fun stopped(task: String, ranMs: Long) {}
+    /** Called when [task] was stopped after it had run for [ranMs]. */
+    fun taskStopped(task: String, ranMs: Long) {}
 
-    fun fetched() {}
+    /** Called when a worker begins to fetch an image. */
+    fun imageFetchStarted() {}
 
-    /** A report was answered, or not. */
-    fun reported(answered: Boolean) {}
+    /** Called after each heartbeat; [answered]: whether the worker received a response with status 200 in time. */
+    fun heartbeatSent(answered: Boolean) {}
 }
 
-/** The worker of one machine on loopback: it reports to the controllers, fetches images and runs tasks. */
+/** The simulated worker of one machine: it sends heartbeats over loopback, fetches images and runs tasks. */
 class LoopbackWorker(
     private val loop: EventLoop,
     private val site: LoopbackSite,
     private val id: String,
-    private val observer: TaskObserver,
+    private val workload: Workload,
 ) {
     private class Task(
         val attempt: Long,
         var state: TaskState,
         var cause: ExitCause?,
-        var changesMs: Long,
-        var sinceMs: Long,
+        /** When the fetch or the run ends. */
+        var stateEndsMs: Long,
+        var startedMs: Long,
     )
 
     private val zone = site.machines.getValue(id)
     private val clients = site.labels.associateWith { HttpClient(loop, site.address(it), maxIdle = 1) }
     private val tasks = TreeMap<String, Task>()
-    private val images = HashSet<String>()
+    private val fetchedImages = HashSet<String>()
     private val random = Random(id.hashCode())
-    private var node = site.labels.random(random)
-    private var session = 1L
-    private var seq = 0L
-    private var token = 0L
-    private var answeredMs = site.nowMs()
+    private var controller = site.labels.random(random)
+    private var epoch = 1L
+    private var sequence = 0L
+    private var fencingToken = 0L
 
-    /** Until when it does nothing at all. */
+    /** When the last answered heartbeat was sent; the lease counts from then. */
+    private var leaseRenewedMs = site.nowMs()
+
+    /** Until this time the worker is frozen: it sends no heartbeats, drops responses and advances no tasks. */
     var frozenUntilMs = 0L
 
     suspend fun run() {
-        delay(random.nextLong(REPORT_MS))
-        answeredMs = site.nowMs()
+        delay(random.nextLong(HEARTBEAT_INTERVAL_MS))
+        leaseRenewedMs = site.nowMs()
         while (true) {
             if (site.nowMs() < frozenUntilMs) delay(frozenUntilMs - site.nowMs())
-            endLease()
-            report()
-            pause()
+            enforceLease()
+            sendHeartbeat()
+            awaitNextHeartbeat()
         }
     }
 
-    private fun endLease() {
-        if (site.nowMs() - answeredMs <= LEASE_MS) return
+    /** Stops all tasks and begins a new epoch if the lease has expired. */
+    private fun enforceLease() {
+        if (site.nowMs() - leaseRenewedMs <= LEASE_MS) return
         tasks.forEach { (name, task) ->
-            if (task.state ==
-                TaskState.RUNNING
-            ) {
-                observer.stopped(name, site.nowMs() - task.sinceMs)
+            if (task.state == TaskState.RUNNING) {
+                workload.taskStopped(name, site.nowMs() - task.startedMs)
             }
         }
         tasks.clear()
-        session++
-        answeredMs = site.nowMs()
+        epoch++
+        leaseRenewedMs = site.nowMs()
     }
 
-    private suspend fun report() {
-        val shown = tasks.map { (name, task) -> TaskStatus(name, task.attempt, task.state, task.cause) }
+    private suspend fun sendHeartbeat() {
+        val statuses = tasks.map { (name, task) -> TaskStatus(name, task.attempt, task.state, task.cause) }
         val type = LoopbackSite.TYPE.name
-        val report = Heartbeat(id, "127.0.0.1:9", type, zone, false, session, ++seq, token, null, shown)
-        val body = WireJson.encodeToString(Heartbeat.serializer(), report).encodeToByteArray()
-        val sent = site.nowMs()
-        val reply = clients.getValue(node).call("POST", "/v1/report", body, ANSWER_MS)
+        val heartbeat = Heartbeat(id, "127.0.0.1:9", type, zone, false, epoch, ++sequence, fencingToken, null, statuses)
+        val body = WireJson.encodeToString(Heartbeat.serializer(), heartbeat).encodeToByteArray()
+        val sentMs = site.nowMs()
+        val reply = clients.getValue(controller).call("POST", "/v1/report", body, HEARTBEAT_TIMEOUT_MS)
         val answered = reply is Reply.Answer && reply.status == 200 && site.nowMs() >= frozenUntilMs
-        observer.reported(answered)
-        if (answered) take(reply as Reply.Answer, sent) else goOn(reply)
+        workload.heartbeatSent(answered)
+        if (answered) applyResponse(reply as Reply.Answer, sentMs) else switchController(reply)
     }
 
-    private fun take(reply: Reply.Answer, sent: Long) {
-        val commands = WireJson.decodeFromString(HeartbeatResponse.serializer(), reply.text)
-        if (commands.fencingToken < token) return
-        token = commands.fencingToken
-        answeredMs = sent
-        commands.commands.forEach(::carryOut)
+    private fun applyResponse(reply: Reply.Answer, sentMs: Long) {
+        val response = WireJson.decodeFromString(HeartbeatResponse.serializer(), reply.text)
+        if (response.fencingToken < fencingToken) return
+        fencingToken = response.fencingToken
+        leaseRenewedMs = sentMs
+        response.commands.forEach(::execute)
     }
 
-    private suspend fun goOn(reply: Reply) {
+    /** Switches to the controller that [reply] redirects to, or else to the next one, and then waits 1 s. */
+    private suspend fun switchController(reply: Reply) {
         val redirected = (reply as? Reply.Answer)?.takeIf { it.status == 421 }
             ?.let { WireJson.decodeFromString(LeaderRedirect.serializer(), it.text).leader }
-        if (redirected != null && redirected != node && redirected in clients) {
-            node = redirected
+        if (redirected != null && redirected != controller && redirected in clients) {
+            controller = redirected
             return
         }
-        node = site.labels[(site.labels.indexOf(node) + 1) % site.labels.size]
+        controller = site.labels[(site.labels.indexOf(controller) + 1) % site.labels.size]
         delay(1_000)
     }
 
-    /** Reports every so often, and sooner when a task has changed. */
-    private suspend fun pause() {
-        val until = site.nowMs() + REPORT_MS * 3 / 4 + random.nextLong(REPORT_MS / 2)
-        delay(LEAST_PAUSE_MS)
-        while (site.nowMs() < until) {
-            if (advance()) return
+    /** Waits until the next heartbeat is due, or until a task has changed its state but at least [MIN_PAUSE_MS]. */
+    private suspend fun awaitNextHeartbeat() {
+        val dueMs = site.nowMs() + HEARTBEAT_INTERVAL_MS * 3 / 4 + random.nextLong(HEARTBEAT_INTERVAL_MS / 2)
+        delay(MIN_PAUSE_MS)
+        while (site.nowMs() < dueMs) {
+            if (advanceTasks()) return
             delay(20)
         }
     }
 
-    private fun advance(): Boolean {
+    /** Ends the fetches and runs that are due. Returns whether there were any. */
+    private fun advanceTasks(): Boolean {
         val now = site.nowMs()
         if (now < frozenUntilMs) return false
         val due = tasks.filterValues {
-            it.state in listOf(TaskState.FETCHING, TaskState.RUNNING) && now >= it.changesMs
+            it.state in listOf(TaskState.FETCHING, TaskState.RUNNING) && now >= it.stateEndsMs
         }
-        for ((name, task) in due) if (task.state == TaskState.FETCHING) begin(name, task, now) else end(name, task)
+        for ((name, task) in due) if (task.state == TaskState.FETCHING) begin(name, task, now) else complete(name, task)
         return due.isNotEmpty()
     }
 
     private fun begin(name: String, task: Task, now: Long) {
-        observer.spec(jobOf(name))?.let { images.add(it.image) }
-        observer.started(name)
+        workload.jobSpec(jobOf(name))?.let { fetchedImages.add(it.image) }
+        workload.taskStarted(name)
         task.state = TaskState.RUNNING
-        task.sinceMs = now
-        task.changesMs = now + observer.runMs(name)
+        task.startedMs = now
+        task.stateEndsMs = now + workload.runMs(name)
     }
 
-    private fun end(name: String, task: Task) {
+    private fun complete(name: String, task: Task) {
         task.state = TaskState.EXITED
         task.cause = ExitCause.DONE
-        observer.completed(name)
+        workload.taskCompleted(name)
     }
 
-    private fun carryOut(command: HeartbeatCommand) {
+    private fun execute(command: HeartbeatCommand) {
         val task = tasks[command.task]
         when (command.op) {
             CommandOperation.START -> if (task == null || isExitedInOtherAttempt(task, command)) start(command)
@@ -173,15 +178,15 @@
         task.state != TaskState.EXITED && task.attempt == command.attempt
 
     private fun halt(name: String, task: Task) {
-        if (task.state == TaskState.RUNNING) observer.stopped(name, site.nowMs() - task.sinceMs)
+        if (task.state == TaskState.RUNNING) workload.taskStopped(name, site.nowMs() - task.startedMs)
         task.state = TaskState.EXITED
         task.cause = ExitCause.STOPPED
     }
 
     private fun start(command: HeartbeatCommand) {
-        val spec = observer.spec(jobOf(command.task)) ?: return
+        val spec = workload.jobSpec(jobOf(command.task)) ?: return
         val active = tasks.filterValues { it.state != TaskState.EXITED }.keys
-        val used = active.sumOf { observer.spec(jobOf(it))?.cores ?: 0.0 }
+        val used = active.sumOf { workload.jobSpec(jobOf(it))?.cores ?: 0.0 }
         val task = if (used + spec.cores > LoopbackSite.TYPE.cores) {
             Task(command.attempt, TaskState.EXITED, ExitCause.NO_ROOM, 0, 0)
         } else {
@@ -191,17 +196,17 @@
     }
 
     private fun fetchMs(spec: JobSpec): Long {
-        if (spec.image in images) return 0
-        observer.fetched()
+        if (spec.image in fetchedImages) return 0
+        workload.imageFetchStarted()
         return (spec.imageGb / LoopbackSite.TYPE.fetchGbPerS * 1000).toLong()
     }
 
     private fun jobOf(task: String) = task.substringBefore('/')
 
     private companion object {
-        const val REPORT_MS = 800L
-        const val LEAST_PAUSE_MS = 500L
-        const val ANSWER_MS = 4_000L
+        const val HEARTBEAT_INTERVAL_MS = 800L
+        const val MIN_PAUSE_MS = 500L
+        const val HEARTBEAT_TIMEOUT_MS = 4_000L
         const val LEASE_MS = 10_000L
     }
 }
--- a/src/test/kotlin/io/otterknot/load/SurgeLoad.kt
+++ b/src/test/kotlin/io/otterknot/load/SurgeLoad.kt
@@ -19,12 +19,13 @@
 import kotlin.random.Random
 
 /**
- * A surge of one team on loopback: three controller processes, workers, users of three teams, one of which submits a
- * thousand urgent one-task jobs at once; meanwhile a controller is killed and a worker frozen. How long each team's tasks
- * waited, from the first attempt to submit to their start, goes to an interval log of HdrHistogram by team and phase;
- * [SurgeTable] prints such logs as a table. Not a test: figures depend on the machine.
+ * Measures a surge of one team on loopback. Three controller processes serve simulated workers and the users of three
+ * teams. One team submits a thousand high-priority jobs of one task each simultaneously; during this surge a
+ * controller is killed and restarted, and a worker is frozen. Writes how long tasks waited, from the first attempt to
+ * submit their job to their start, as an HdrHistogram interval log by team and phase; [SurgeTable] prints such logs as
+ * a table. This is not a test: the figures depend on the machine.
  *
- *     SurgeLoad SEED OPERATORS-FILE LOG-DIRECTORY PORT-BASE [CHANGES-PER-SECOND]
+ *     SurgeLoad SEED OPERATORS-FILE LOG-DIRECTORY PORT-BASE [WRITES-PER-SECOND]
  */
 object SurgeLoad {
     @JvmStatic
@@ -38,33 +39,48 @@
                 operators = Path.of(args[1]),
                 directory = Files.createDirectories(Path.of(args[2])),
                 portBase = args[3].toInt(),
-                changesPerS = args.getOrNull(4)?.toDouble() ?: 180.0,
+                writesPerS = args.getOrNull(4)?.toDouble() ?: 180.0,
             )
-            surge.play()
+            surge.run()
             System.exit(0)
         }
     }
 
-    /** A team, and how its users submit when there is no surge. */
-    private class Users(val team: String, val priority: Priority, val everyMs: Long, val tasks: Int, val runS: Double)
+    /** The jobs that the users of [team] submit apart from the surge. [meanIntervalMs] and [meanRunS] are averages. */
+    private class BaseLoad(
+        val team: String,
+        val priority: Priority,
+        val meanIntervalMs: Long,
+        val tasksPerJob: Int,
+        val meanRunS: Double,
+    )
 
-    private enum class SurgePhase(val lastsMs: Long) { WARM_UP(15_000), BEFORE(20_000), DURING(70_000), AFTER(25_000) }
+    /** The phases of a run. Their names are part of the histogram tags, by which [SurgeTable] finds the histograms. */
+    private enum class SurgePhase(val lengthMs: Long) { WARM_UP(15_000), BEFORE(20_000), DURING(70_000), AFTER(25_000) }
 
-    private val USERS = listOf(
-        Users("red", Priority.HIGH, everyMs = 2_500, tasks = 4, runS = 6.0),
-        Users("blue", Priority.HIGH, everyMs = 4_000, tasks = 4, runS = 6.0),
-        Users("green", Priority.NORMAL, everyMs = 4_000, tasks = 4, runS = 6.0),
+    private val BASE_LOADS = listOf(
+        BaseLoad("red", Priority.HIGH, meanIntervalMs = 2_500, tasksPerJob = 4, meanRunS = 6.0),
+        BaseLoad("blue", Priority.HIGH, meanIntervalMs = 4_000, tasksPerJob = 4, meanRunS = 6.0),
+        BaseLoad("green", Priority.NORMAL, meanIntervalMs = 4_000, tasksPerJob = 4, meanRunS = 6.0),
     )
-    private const val CORES = 4.0
-    private const val GUARANTEED_CORES = 96.0
+    private const val CORES_PER_TASK = 4.0
+    private const val GUARANTEED_CORES_PER_TEAM = 96.0
     private const val MACHINES_PER_ZONE = 8
     private const val SURGE_JOBS = 1_000
-    private const val SURGE_RUN_S = 6.0
+    private const val SURGE_MEAN_RUN_S = 6.0
+
+    /** From the start of the surge until a controller is killed. */
     private const val KILL_AFTER_MS = 15_000L
-    private const val RESTART_MS = 4_000L
+
+    /** From then until the controller is restarted. */
+    private const val RESTART_DELAY_MS = 4_000L
+
+    /** From the start of the surge until a worker is frozen. */
     private const val FREEZE_AFTER_MS = 22_000L
-    private const val FREEZE_MS = 6_000L
-    private const val LONGEST_MS = 600_000L
+    private const val FREEZE_DURATION_MS = 6_000L
+
+    /** Longer times are recorded as this. */
+    private const val MAX_RECORDED_MS = 600_000L
 
     private class Surge(
         private val scope: CoroutineScope,
@@ -73,8 +89,8 @@
         private val operators: Path,
         private val directory: Path,
         portBase: Int,
-        changesPerS: Double,
-    ) : TaskObserver {
+        writesPerS: Double,
+    ) : Workload {
         private val random = Random(seed)
         private val site = LoopbackSite(
             scope,
@@ -82,109 +98,121 @@
             portBase,
             listOf("a", "b", "c"),
             MACHINES_PER_ZONE,
-            USERS.map { TeamSettings(it.team, cpus = GUARANTEED_CORES) },
-            changesPerS,
+            BASE_LOADS.map { TeamSettings(it.team, cpus = GUARANTEED_CORES_PER_TEAM) },
+            writesPerS,
         )
         private val specs = HashMap<String, JobSpec>()
         private val submittedMs = HashMap<String, Long>()
-        private val phaseOf = HashMap<String, SurgePhase>()
+        private val submissionPhases = HashMap<String, SurgePhase>()
         private val startedTasks = HashSet<String>()
         private val completedTasks = HashSet<String>()
-        private val waits = HashMap<Pair<String, SurgePhase>, Histogram>()
-        private val accepts = HashMap<Pair<String, SurgePhase>, Histogram>()
+        private val waitTimes = HashMap<Pair<String, SurgePhase>, Histogram>()
+        private val acceptanceTimes = HashMap<Pair<String, SurgePhase>, Histogram>()
         private val processes = HashMap<String, Process>()
         private var phase = SurgePhase.WARM_UP
-        private var stops = 0
-        private var lostMs = 0L
-        private var fetches = 0
-        private var number = 0
+        private var taskStops = 0
+        private var lostRunMs = 0L
+        private var imageFetches = 0
+        private var jobCount = 0
 
-        override fun spec(job: String): JobSpec? = specs[job]
+        override fun jobSpec(job: String): JobSpec? = specs[job]
 
-        /** Drawn from the task's name, so that runs with the same seed have the same tasks. */
+        /** Returns a run time drawn from the task's name, so that runs with the same seed have the same tasks. */
         override fun runMs(task: String): Long {
             val estimateMs = (specs.getValue(task.substringBefore('/')).estimateS * 1000).toLong()
             return estimateMs / 2 + Random(task.hashCode()).nextLong(estimateMs)
         }
 
-        override fun started(task: String) {
+        override fun taskStarted(task: String) {
             if (!startedTasks.add(task)) return
             val job = task.substringBefore('/')
-            record(waits, specs.getValue(job).team, phaseOf.getValue(job), site.nowMs() - submittedMs.getValue(job))
+            record(
+                waitTimes,
+                specs.getValue(job).team,
+                submissionPhases.getValue(job),
+                site.nowMs() - submittedMs.getValue(job),
+            )
         }
 
-        override fun completed(task: String) {
+        override fun taskCompleted(task: String) {
             completedTasks.add(task)
         }
 
-        override fun stopped(task: String, ranMs: Long) {
-            stops++
-            lostMs += ranMs
+        override fun taskStopped(task: String, ranMs: Long) {
+            taskStops++
+            lostRunMs += ranMs
         }
 
-        override fun fetched() {
-            fetches++
+        override fun imageFetchStarted() {
+            imageFetches++
         }
 
-        private fun record(into: HashMap<Pair<String, SurgePhase>, Histogram>, team: String, at: SurgePhase, ms: Long) {
-            val histogram = into.getOrPut(team to at) { Histogram(LONGEST_MS, 3).apply { tag = "$team-$at" } }
-            histogram.recordValue(ms.coerceIn(0, LONGEST_MS))
+        private fun record(
+            histograms: HashMap<Pair<String, SurgePhase>, Histogram>,
+            team: String,
+            submittedIn: SurgePhase,
+            ms: Long,
+        ) {
+            val histogram = histograms.getOrPut(team to submittedIn) {
+                Histogram(MAX_RECORDED_MS, 3).apply { tag = "$team-$submittedIn" }
+            }
+            histogram.recordValue(ms.coerceIn(0, MAX_RECORDED_MS))
         }
 
-        suspend fun play() {
-            site.listen()
-            site.labels.forEach(::start)
+        suspend fun run() {
+            site.startServices()
+            site.labels.forEach(::startController)
             try {
                 delay(3_000)
                 val workers = site.machines.keys.map { LoopbackWorker(loop, site, it, this) }
                 workers.forEach { scope.launch { it.run() } }
-                USERS.forEach { scope.launch { submitNowAndThen(it) } }
-                for (next in SurgePhase.entries) {
-                    phase = next
-                    if (next == SurgePhase.DURING) scope.launch { surge(workers) }
-                    delay(next.lastsMs)
+                BASE_LOADS.forEach { scope.launch { submitBaseLoad(it) } }
+                for (nextPhase in SurgePhase.entries) {
+                    phase = nextPhase
+                    if (nextPhase == SurgePhase.DURING) scope.launch { surge(workers) }
+                    delay(nextPhase.lengthMs)
                 }
             } finally {
                 processes.values.forEach { it.destroyForcibly().waitFor() }
             }
-            tell()
+            writeResults()
         }
 
-        private fun start(label: String) {
+        private fun startController(label: String) {
             val log = File(directory.toFile(), "$label.log")
             processes[label] = site.startController(label, operators = operators, log = log)
         }
 
         private suspend fun surge(workers: List<LoopbackWorker>) {
-            repeat(SURGE_JOBS) { submit("red", Priority.HIGH, 1, SURGE_RUN_S) }
+            repeat(SURGE_JOBS) { submit("red", Priority.HIGH, 1, SURGE_MEAN_RUN_S) }
             delay(KILL_AFTER_MS)
             val killed = site.labels.random(random)
             processes.getValue(killed).destroyForcibly()
-            delay(RESTART_MS)
-            start(killed)
-            delay(FREEZE_AFTER_MS - KILL_AFTER_MS - RESTART_MS)
-            workers.random(random).frozenUntilMs = site.nowMs() + FREEZE_MS
+            delay(RESTART_DELAY_MS)
+            startController(killed)
+            delay(FREEZE_AFTER_MS - KILL_AFTER_MS - RESTART_DELAY_MS)
+            workers.random(random).frozenUntilMs = site.nowMs() + FREEZE_DURATION_MS
         }
 
-        private suspend fun submitNowAndThen(users: Users) {
+        private suspend fun submitBaseLoad(load: BaseLoad) {
             while (true) {
-                delay(users.everyMs / 2 + random.nextLong(users.everyMs))
-                submit(users.team, users.priority, users.tasks, users.runS)
+                delay(load.meanIntervalMs / 2 + random.nextLong(load.meanIntervalMs))
+                submit(load.team, load.priority, load.tasksPerJob, load.meanRunS)
             }
         }
 
-        private fun submit(team: String, priority: Priority, tasks: Int, runS: Double) {
-            val spec = smallJob("j-%06d".format(++number), tasks).copy(
-                jobClass = "k", team = team, priority = priority, cores = CORES, memoryGb = 8.0,
-                image = "img-$team", imageGb = 1.0, estimateS = runS, spot = true,
+        private fun submit(team: String, priority: Priority, tasks: Int, meanRunS: Double) {
+            val spec = smallJob("j-%06d".format(++jobCount), tasks).copy(
+                jobClass = "k", team = team, priority = priority, cores = CORES_PER_TASK, memoryGb = 8.0,
+                image = "img-$team", imageGb = 1.0, estimateS = meanRunS, spot = true,
             )
             specs[spec.id] = spec
-            phaseOf[spec.id] = phase
+            submissionPhases[spec.id] = phase
             submittedMs[spec.id] = site.nowMs()
-            scope.launch { untilAccepted(spec) }
+            scope.launch { submitUntilAccepted(spec) }
         }
 
-        private suspend fun untilAccepted(spec: JobSpec) {
+        private suspend fun submitUntilAccepted(spec: JobSpec) {
             while (true) {
                 val client = HttpClient(loop, site.address(site.labels.random(random)), maxIdle = 0)
                 val reply = client.call("POST", "/submissions", submissionBody(spec), 5_000)
@@ -192,29 +220,37 @@
                 delay(1_000)
             }
             val tookMs = site.nowMs() - submittedMs.getValue(spec.id)
-            record(accepts, spec.team, phaseOf.getValue(spec.id), tookMs)
+            record(acceptanceTimes, spec.team, submissionPhases.getValue(spec.id), tookMs)
         }
 
-        private fun tell() {
-            write("waits.hlog", "from the first attempt to submit to the start of each task, in ms", waits.values)
-            write("accepts.hlog", "from the first attempt to submit to its acceptance, in ms", accepts.values)
+        private fun writeResults() {
+            writeHistograms(
+                "waits.hlog",
+                "from the first attempt to submit to the start of each task, in ms",
+                waitTimes.values,
+            )
+            writeHistograms(
+                "accepts.hlog",
+                "from the first attempt to submit to its acceptance, in ms",
+                acceptanceTimes.values,
+            )
             val tasks = specs.values.sumOf { it.tasks }
-            val begun = USERS.joinToString(" ") { "${it.team} ${"%.2f".format(begunShare(it.team))}" }
+            val startedShares = BASE_LOADS.joinToString(" ") { "${it.team} ${"%.2f".format(startedShare(it.team))}" }
             Files.writeString(
                 directory.resolve("counts.txt"),
-                "tasks $tasks started ${startedTasks.size} completed ${completedTasks.size} stops $stops " +
-                    "lost-s ${lostMs / 1000} fetches $fetches begun-of-surge $begun\n",
+                "tasks $tasks started ${startedTasks.size} completed ${completedTasks.size} stops $taskStops " +
+                    "lost-s ${lostRunMs / 1000} fetches $imageFetches begun-of-surge $startedShares\n",
             )
         }
 
-        /** Of a team's tasks submitted during the surge, the share that began before the end of the run. */
-        private fun begunShare(team: String): Double {
-            val during = specs.values.filter { it.team == team && phaseOf[it.id] == SurgePhase.DURING }
-            val begun = during.sumOf { spec -> (0 until spec.tasks).count { "${spec.id}/$it" in startedTasks } }
-            return begun.toDouble() / during.sumOf { it.tasks }
+        /** Returns the share of the team's tasks submitted during the surge that started before the end of the run. */
+        private fun startedShare(team: String): Double {
+            val during = specs.values.filter { it.team == team && submissionPhases[it.id] == SurgePhase.DURING }
+            val started = during.sumOf { spec -> (0 until spec.tasks).count { "${spec.id}/$it" in startedTasks } }
+            return started.toDouble() / during.sumOf { it.tasks }
         }
 
-        private fun write(file: String, comment: String, histograms: Collection<Histogram>) {
+        private fun writeHistograms(file: String, comment: String, histograms: Collection<Histogram>) {
             val writer = HistogramLogWriter(directory.resolve(file).toFile())
             writer.outputLogFormatVersion()
             writer.outputComment(comment)
--- a/src/test/kotlin/io/otterknot/load/SurgeTable.kt
+++ b/src/test/kotlin/io/otterknot/load/SurgeTable.kt
@@ -8,8 +8,9 @@
 import kotlin.io.path.readText
 
 /**
- * Prints the interval logs of [SurgeLoad] as a table. Runs of one kind are directories that differ in what follows the
- * last hyphen of their names; each figure is given as the median of the runs and, in brackets, their least and most.
+ * Prints the interval logs of [SurgeLoad] as a table. Each subdirectory of DIRECTORY holds the files of one run; runs
+ * whose directory names are equal up to the last hyphen are of one kind. Each value is printed as the median over the
+ * runs of a kind and, in parentheses, the minimum and the maximum.
  *
  *     SurgeTable DIRECTORY
  */
@@ -22,46 +23,55 @@
         val runs = Path.of(args[0]).listDirectoryEntries().filter { it.resolve("waits.hlog").toFile().exists() }
         val kinds = runs.groupBy { it.name.substringBeforeLast('-') }.toSortedMap()
         for (log in listOf("waits.hlog", "accepts.hlog")) {
-            println("$log, s: median, 95%, 99%, most; tasks or jobs")
+            println("$log, in seconds: median, 95%, 99%, maximum; total number of tasks or jobs")
             for (phase in PHASES) {
                 for (team in teams(runs, log)) {
-                    for ((kind, ofKind) in kinds) {
-                        println(row(kind, team, phase, ofKind.mapNotNull { read(it.resolve(log))["$team-$phase"] }))
+                    for ((kind, runsOfKind) in kinds) {
+                        println(
+                            row(kind, team, phase, runsOfKind.mapNotNull { readLog(it.resolve(log))["$team-$phase"] }),
+                        )
                     }
                 }
             }
         }
-        for ((kind, ofKind) in kinds) {
-            println("$kind: Jain's index of the teams' shares begun ${spread(ofKind.map(::jain), "%.2f")}")
-            ofKind.sorted().forEach { println("  ${it.name}: ${it.resolve("counts.txt").readText().trim()}") }
+        for ((kind, runsOfKind) in kinds) {
+            println(
+                "$kind: Jain's fairness index of team shares ${medianAndRange(
+                    runsOfKind.map(::jainIndex),
+                    "%.2f",
+                )}",
+            )
+            runsOfKind.sorted().forEach { println("  ${it.name}: ${it.resolve("counts.txt").readText().trim()}") }
         }
     }
 
     private fun teams(runs: List<Path>, log: String) =
-        runs.flatMap { read(it.resolve(log)).keys }.map { it.substringBefore('-') }.distinct().sorted()
+        runs.flatMap { readLog(it.resolve(log)).keys }.map { it.substringBefore('-') }.distinct().sorted()
 
-    private fun read(log: Path): Map<String, Histogram> {
+    private fun readLog(log: Path): Map<String, Histogram> {
         val reader = HistogramLogReader(log.toFile())
         return generateSequence { reader.nextIntervalHistogram() as Histogram? }.associateBy { it.tag }
     }
 
     private fun row(kind: String, team: String, phase: String, runs: List<Histogram>): String {
-        val figures = PERCENTILES.map { percentile ->
-            spread(runs.map { it.getValueAtPercentile(percentile) / 1000.0 }, "%.1f")
+        val cells = PERCENTILES.map { percentile ->
+            medianAndRange(runs.map { it.getValueAtPercentile(percentile) / 1000.0 }, "%.1f")
         }
-        return "| $kind | $team | ${phase.lowercase()} | ${figures.joinToString(" | ")} | ${runs.sumOf {
-            it.totalCount
-        }} |"
+        val count = runs.sumOf { it.totalCount }
+        return "| $kind | $team | ${phase.lowercase()} | ${cells.joinToString(" | ")} | $count |"
     }
 
-    private fun spread(values: List<Double>, format: String): String {
+    private fun medianAndRange(values: List<Double>, format: String): String {
         val sorted = values.sorted()
         if (sorted.isEmpty()) return "-"
         return "$format ($format to $format)".format(sorted[sorted.size / 2], sorted.first(), sorted.last())
     }
 
-    /** Of what each team submitted during the surge, the share that began: 1 if alike, a third if one of three alone. */
-    private fun jain(run: Path): Double {
+    /**
+     * Returns Jain's fairness index of the teams' shares. A team's share is the fraction of its tasks submitted during
+     * the surge that started. The index is 1 if the shares are equal, and 1/3 if only one of three teams has a share.
+     */
+    private fun jainIndex(run: Path): Double {
         val words = run.resolve("counts.txt").readText().trim().substringAfter("begun-of-surge ").split(' ')
         val shares = words.chunked(2).map { it[1].toDouble() }
         return shares.sum() * shares.sum() / (shares.size * shares.sumOf { it * it })
