--- a/src/main/kotlin/io/otterknot/store/BatchWriter.kt
+++ b/src/main/kotlin/io/otterknot/store/BatchWriter.kt
@@ -6,12 +6,13 @@
 import kotlin.random.Random
 
 /**
- * Brings the keys that only a partition's leader writes to the values that it wants, in batches. Each key's known
- * version is a condition besides the partition's key: a transaction that was given up and is carried out late can then
- * change nothing.
+ * Writes the values that a partition's leader wants its keys to have, in batches. Only the leader writes these keys.
+ * Each transaction is conditional on the leadership key of the partition and on the last seen version of every key that
+ * it changes, so a transaction that timed out and is applied late changes nothing.
  *
- * A batch that is refused for its size is tried again in smaller batches; a single value that is refused is deferred
- * for a while, so that it does not hold up the others, or until something smaller is to be written.
+ * A batch that the store refuses as too large is retried in smaller batches. A single value that is refused as too
+ * large is deferred for [DEFERRAL_MS] or until another value is to be written to its key, so that it does not block
+ * the other writes.
  */
 class BatchWriter(
     private val client: KeyValueStoreClient,
@@ -22,12 +23,12 @@
 ) {
     private val log = LoggerFactory.getLogger(BatchWriter::class.java)
 
-    /** By key: the write that was refused for its size last. */
+    /** By key: the write that was last refused as too large. */
     private val deferred = HashMap<String, DeferredWrite>()
 
     /**
-     * Sends the first batch of [writes] that differ from the replica, on the condition [leadership]; calls
-     * [onLeadershipLost] if that does not hold any more. False: there was nothing to send.
+     * Sends the first batch of those [writes] whose values differ from the replica, conditional on [leadership], and
+     * calls [onLeadershipLost] if that condition no longer holds. Returns false if there was nothing to send.
      */
     suspend fun write(
         leadership: VersionCondition,
@@ -43,7 +44,7 @@
             is TransactionOutcome.Applied -> replica.awaitRevision(outcome.revision, REPLICA_TIMEOUT_MS)
 
             is TransactionOutcome.Conflict -> {
-                log.debug("batch refused changes={} failed_keys={}", change.size, outcome.failedKeys)
+                log.debug("changes={} failed_keys={} batch not applied: conflict", change.size, outcome.failedKeys)
                 if (leadership.key in outcome.failedKeys) {
                     onLeadershipLost()
                 } else {
@@ -52,7 +53,7 @@
             }
 
             is TransactionOutcome.Refused, is TransactionOutcome.Unknown -> {
-                log.info("batch not written changes={} error={}", change.size, outcome)
+                log.info("changes={} error={} batch not written", change.size, outcome)
                 if (limits.reduceIfTooLarge(change, outcome)) batch.singleOrNull()?.let(::defer)
                 delay(RETRY_DELAY_MS + random.nextLong(RETRY_JITTER_MS))
             }
@@ -60,7 +61,7 @@
         return true
     }
 
-    /** As many of the [writes] that differ from the replica as fit into one transaction, in their order. */
+    /** Returns the [writes] that differ from the replica, in their order, as many as fit into one transaction. */
     private fun nextBatch(writes: List<PendingWrite>): List<PendingWrite> {
         val batch = ArrayList<PendingWrite>()
         val skippedKeys = HashSet<String>()
@@ -96,7 +97,7 @@
     private class DeferredWrite(val write: PendingWrite, val untilMs: Long)
 
     private companion object {
-        /** How long the replica may take to show a revision. */
+        /** Time within which the replica must reach the revision of a transaction. */
         const val REPLICA_TIMEOUT_MS = 2_000L
         const val RETRY_DELAY_MS = 300L
         const val RETRY_JITTER_MS = 500L
@@ -104,7 +105,7 @@
         const val MAX_BATCH_CHANGES = 16
         const val MAX_BATCH_BYTES = 40_000
 
-        /** Of a change and its condition, what surrounds the key and the value. */
+        /** Size of the JSON of a change and its condition without the key and the value. */
         const val CHANGE_OVERHEAD_BYTES = 80
     }
 }
--- a/src/main/kotlin/io/otterknot/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/io/otterknot/store/KeyValueStoreClient.kt
@@ -18,8 +18,8 @@
 import kotlinx.serialization.SerializationException
 
 /**
- * The interface of the consensus-backed key-value store (PROTOCOL: `/store`, `/txn`, `/watch`, `/holds`), within this
- * controller's share of its rate limits. Watches have a transport of their own, since they stay open.
+ * Client of the consensus-backed key-value store (PROTOCOL: `/store`, `/txn`, `/watch`, `/holds`). It keeps within this
+ * controller's share of the store's rate limits. Watches use a separate transport because their requests stay open.
  */
 class KeyValueStoreClient(
     private val transport: Transport,
@@ -27,7 +27,7 @@
     val rateLimiter: RateLimiter,
     val metrics: Metrics,
 ) {
-    /** A page of the keys that begin with [prefix] and come after the key [after]; null: no usable answer. */
+    /** Returns a page of the keys that begin with [prefix] and sort after [after], or null if the request failed. */
     suspend fun list(prefix: String, after: String?): KeyValuePage? {
         rateLimiter.acquire()
         metrics.count("lists")
@@ -36,35 +36,35 @@
         return parseIfOk(KeyValuePage.serializer(), call(transport, "GET", target, null, LIST_TIMEOUT_MS))
     }
 
-    /** The revision that the store has reached, read from an absent key; null: no usable answer. */
+    /** Returns the store's current revision, by reading an absent key, or null if the request failed. */
     suspend fun revision(): Long? {
         rateLimiter.acquire()
         return readRevision()
     }
 
-    /** Like [revision], for the sake of the lease, which never waits for the rate limit. */
+    /** Like [revision], but does not wait for the rate limit: for the store lease, which must not be delayed. */
     suspend fun revisionWithoutWaiting(): Long? {
         rateLimiter.acquireWithoutWaiting()
         return readRevision()
     }
 
-    /** Carries [change] out if all its conditions hold. The caller has acquired its place from [rateLimiter]. */
+    /** Applies [change] if all its conditions hold. The caller must have acquired a permit from [rateLimiter]. */
     suspend fun transact(change: CompareAndSwap): TransactionOutcome = send(change.conditions, change.changes)
 
     /**
-     * Whether all of [conditions] hold at some moment after the call. The caller has acquired its place from
+     * Checks whether all [conditions] hold at some moment after the call. The caller must have acquired a permit from
      * [rateLimiter].
      */
     suspend fun checkConditions(conditions: List<VersionCondition>): TransactionOutcome = send(conditions, emptyList())
 
-    /** A new lease of [ttlMs]; null: no usable answer. */
+    /** Creates a store lease with a time to live of [ttlMs]. Returns its id, or null if the request failed. */
     suspend fun grantLease(ttlMs: Long): Long? {
         rateLimiter.acquireWithoutWaiting()
         val body = encode(LeaseRequest.serializer(), LeaseRequest(ttlMs))
         return parseIfOk(LeaseGrant.serializer(), call(transport, "POST", "/holds", body, GRANT_TIMEOUT_MS))?.lease
     }
 
-    /** Starts the time to live of [lease] anew. */
+    /** Renews [lease] for another time to live. */
     suspend fun renewLease(lease: Long): LeaseRenewal {
         rateLimiter.acquireWithoutWaiting()
         metrics.count("renewals")
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The changes of keys that begin with [prefix] after [revision]; the store waits up to [waitMs] for one. */
+    /** Returns the changes after [revision] of keys under [prefix]; the store waits up to [waitMs] for a change. */
     suspend fun watch(prefix: String, revision: Long, waitMs: Long): WatchResult {
         rateLimiter.acquire()
         metrics.count("watches")
@@ -145,7 +145,7 @@
     private fun <T> parseIfOk(serializer: KSerializer<T>, reply: Reply): T? =
         if (reply is Reply.Answer && reply.status == HttpStatus.OK) parse(serializer, reply) else null
 
-    /** Null: not what the protocol says; callers treat it like an answer that did not arrive. */
+    /** Returns null if the body does not follow the protocol; callers treat that like a missing answer. */
     private fun <T> parse(serializer: KSerializer<T>, reply: Reply.Answer): T? = try {
         WireJson.decodeFromString(serializer, reply.text)
     } catch (_: SerializationException) {
@@ -153,7 +153,7 @@
     }
 
     companion object {
-        /** A key that is never put: reading it costs the store little and tells its revision. */
+        /** Target of a key that is never written: reading it is cheap for the store and returns its revision. */
         internal const val ABSENT_KEY_TARGET = "/store/o/none"
         private val EMPTY_BODY = ByteArray(0)
         private const val UNREADABLE = "unreadable answer"
@@ -164,7 +164,7 @@
         private const val GRANT_TIMEOUT_MS = 2_000L
         private const val RENEWAL_TIMEOUT_MS = 1_500L
 
-        /** How much longer than the store may wait its answer may take. */
+        /** Time for the answer to a watch beyond the time that the store may wait for a change. */
         private const val WATCH_SLACK_MS = 3_000L
     }
 }
--- a/src/main/kotlin/io/otterknot/store/LeaseRenewal.kt
+++ b/src/main/kotlin/io/otterknot/store/LeaseRenewal.kt
@@ -1,12 +1,12 @@
 package io.otterknot.store
 
-/** What came of the renewal of a store lease. */
+/** The result of renewing a store lease. */
 enum class LeaseRenewal {
     RENEWED,
 
-    /** The store no longer knows the lease, and has removed the keys that were put with it. */
+    /** The lease does not exist any more, and the store has removed the keys that were put with it. */
     EXPIRED,
 
-    /** No usable answer: the lease may or may not have been renewed. */
+    /** The request failed; the lease may or may not have been renewed. */
     FAILED,
 }
--- a/src/main/kotlin/io/otterknot/store/RelayPool.kt
+++ b/src/main/kotlin/io/otterknot/store/RelayPool.kt
@@ -6,20 +6,21 @@
 import kotlin.random.Random
 
 /**
- * The other controllers as relays, for a controller that alone gets no answer from the store: its users and workers are
- * then served as before. Every transaction is conditional and a lease counts from the sending of its renewal, so
- * nothing is lost by a request that arrives later or twice this way. In an outage of the store no relay helps.
+ * Forwards store requests through other controllers while the store answers them but not this controller, so that this
+ * controller can still serve its users and workers. A forwarded request may arrive late or twice without harm, since
+ * every transaction is conditional and a lease counts from the moment at which its renewal was sent. Relays do not help
+ * in an outage of the store.
  */
 class RelayPool(private val relays: List<Relay>, private val random: Random, private val nowMs: () -> Long) {
     private val log = LoggerFactory.getLogger(RelayPool::class.java)
     private var chosen: Relay? = null
     private var chosenMs = NEVER_MS
 
-    /** No other controller answered the last time that a relay was chosen. */
+    /** Whether no other controller answered when a relay was last chosen. */
     var noPeerAnswers = false
         private set
 
-    /** Null: no relay reaches the store, and nothing was sent. */
+    /** Sends the request through a relay. Returns null, and sends nothing, if no relay reaches the store. */
     suspend fun call(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply? {
         val relay = choose() ?: return null
         val reply = relay.relay(method, target, body, timeoutMs)
@@ -30,7 +31,10 @@
         return reply
     }
 
-    /** The relay of the last choice for [CHOICE_VALID_MS]; then it, if it still reaches the store, or another. */
+    /**
+     * Returns the relay in use, which is checked again after [CHOICE_VALID_MS] and replaced by another if it no longer
+     * reaches the store; or null if no relay reaches the store.
+     */
     private suspend fun choose(): Relay? {
         if (nowMs() - chosenMs < CHOICE_VALID_MS) return chosen
         chosenMs = nowMs()
--- a/src/main/kotlin/io/otterknot/store/ReplicaContents.kt
+++ b/src/main/kotlin/io/otterknot/store/ReplicaContents.kt
@@ -8,10 +8,10 @@
 import org.slf4j.LoggerFactory
 import java.util.TreeMap
 
-/** The value of a key in the replica and the version, above 0, of that value. */
+/** The value of a key in the replica, with the version of that value, which is above 0. */
 class ReplicaEntry(val value: JsonElement, val version: Long)
 
-/** The entries of a [StoreReplica] and the revision that they are at. No key ever goes back to an earlier version. */
+/** The entries of a [StoreReplica] and their revision. No key returns to an earlier version. */
 internal class ReplicaContents {
     private val log = LoggerFactory.getLogger(ReplicaContents::class.java)
     private val entries = TreeMap<String, ReplicaEntry>()
@@ -23,7 +23,7 @@
     /** See [StoreReplica.onBatchApplied]. */
     var onBatchApplied: () -> Unit = {}
 
-    /** Every change up to this revision is in [entries]; [NOT_LOADED] before the first load. */
+    /** The revision up to which [entries] has every change; [NOT_LOADED] before the first load. */
     val revision: StateFlow<Long> get() = revisionFlow
     val isLoaded: Boolean get() = revisionFlow.value != NOT_LOADED
 
@@ -32,7 +32,7 @@
     fun entriesUnder(prefix: String): List<Pair<String, ReplicaEntry>> =
         entries.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.map { it.key to it.value }
 
-    /** Applies what a watch has brought. */
+    /** Applies the events of a watch. */
     fun apply(watched: WatchEvents) {
         watched.events.forEach(::apply)
         if (watched.revision > revisionFlow.value) revisionFlow.value = watched.revision
@@ -40,13 +40,13 @@
     }
 
     /**
-     * Replaces everything by [read], which is at [revision] or, in parts, later. False: that is older than what is here
-     * already, and nothing was changed.
+     * Replaces all entries by [read], whose entries are as of [revision] or later. Returns false, and changes nothing,
+     * if [revision] is earlier than the replica's revision.
      */
     fun replaceAll(read: Map<String, ReplicaEntry>, revision: Long): Boolean {
         if (revision < revisionFlow.value) {
             log.error(
-                "replica revision={} read again at earlier revision={}: ignored, since no key may go back",
+                "revision={} replica reload ignored: it is at earlier revision={}, and no key may go back",
                 revisionFlow.value,
                 revision,
             )
@@ -58,19 +58,19 @@
             if (entries[key]?.version != entry.version) put(key, entry)
         }
         revisionFlow.value = revision
-        log.info("replica loaded keys={} revision={}", read.size, revision)
+        log.info("keys={} revision={} replica loaded", read.size, revision)
         onBatchApplied()
         return true
     }
 
     private fun apply(event: KeyChange) {
         val version = event.version ?: return
-        val known = entries[event.key]
-        if (known != null && known.version >= version) return
+        val current = entries[event.key]
+        if (current != null && current.version >= version) return
         val value = event.value
         if (event.put != null && value != null) {
             put(event.key, ReplicaEntry(value, version))
-        } else if (known != null) {
+        } else if (current != null) {
             remove(event.key)
         }
     }
--- a/src/main/kotlin/io/otterknot/store/ReplicaWatcher.kt
+++ b/src/main/kotlin/io/otterknot/store/ReplicaWatcher.kt
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory
 import kotlin.random.Random
 
-/** Keeps [contents] up to date: loads everything once, then follows the watch. */
+/** Keeps [contents] up to date: loads all keys once, then applies the events of the watch. */
 internal class ReplicaWatcher(
     private val client: KeyValueStoreClient,
     private val contents: ReplicaContents,
@@ -20,7 +20,7 @@
 ) {
     private val log = LoggerFactory.getLogger(ReplicaWatcher::class.java)
 
-    /** Somebody waits for a revision that the replica has not reached. */
+    /** Signals that a caller waits for a revision that the replica has not reached. */
     private val fetchRequests = Channel<Unit>(Channel.CONFLATED)
     private val reopenRequests = Channel<Unit>(Channel.CONFLATED)
 
@@ -37,12 +37,12 @@
                 }
 
                 WatchResult.Compacted -> {
-                    log.warn("replica watch fell behind; loading everything again revision={}", contents.revision.value)
+                    log.warn("revision={} replica watch compacted; reloading all keys", contents.revision.value)
                     loadOrDelay()
                 }
 
                 is WatchResult.Failed -> {
-                    log.info("replica watch failed error={}", result.reason)
+                    log.info("error={} replica watch failed", result.reason)
                     delay(WATCH_RETRY_DELAY_MS + random.nextLong(WATCH_RETRY_JITTER_MS))
                 }
             }
@@ -60,7 +60,7 @@
         return withTimeoutOrNull(timeoutMs) { contents.revision.first { it >= revision } } != null
     }
 
-    /** The next changes; null: the watch is to be opened anew. */
+    /** Waits for the next changes. Returns null if the watch is to be reopened. */
     private suspend fun watch(): WatchResult? = coroutineScope {
         while (reopenRequests.tryReceive().isSuccess) Unit
         val answer = async { client.watch(StoreKeys.ROOT, contents.revision.value, WATCH_MS) }
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Changes that come close together are fetched together, since each new watch counts as a request. What somebody
-     * waits for is fetched at once while requests are ample.
+     * Waits before the next watch so that several changes are fetched with one request, as each new watch counts
+     * against the rate limit. Ends early if a caller waits for a revision while the rate limiter has ample requests.
      */
     private suspend fun pauseBetweenWatches() {
         withTimeoutOrNull(pauseMs) {
@@ -86,14 +86,17 @@
         return false
     }
 
-    /** Reads all keys, page by page; false: some page did not come, or they are older than what is known. */
+    /**
+     * Reads all keys, page by page. Returns false if a page could not be read or the keys are as of an earlier revision
+     * than the replica's.
+     */
     private suspend fun load(): Boolean {
         val read = HashMap<String, ReplicaEntry>()
         var revision: Long? = null
         var after: String? = null
         while (true) {
             val page = client.list(StoreKeys.ROOT, after) ?: return false
-            // Later pages may be newer than the first: the watch then repeats what is in them already.
+            // Later pages may be newer than the first; the watch then repeats changes that they contain already.
             if (revision == null) revision = page.revision
             for (item in page.items) read[item.key] = ReplicaEntry(item.value, item.version)
             if (!page.more || page.items.isEmpty()) break
@@ -103,7 +106,7 @@
     }
 
     private companion object {
-        /** How long the store may wait for a change before it answers that there is none. */
+        /** How long the store may wait for a change before it answers without one. */
         const val WATCH_MS = 5_000L
         const val WATCH_RETRY_DELAY_MS = 250L
         const val WATCH_RETRY_JITTER_MS = 500L
--- a/src/main/kotlin/io/otterknot/store/StoreConnection.kt
+++ b/src/main/kotlin/io/otterknot/store/StoreConnection.kt
@@ -10,7 +10,7 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.selects.select
 
-/** The store as this controller reaches it: directly, or through a relay while that fails. */
+/** Transport to the store: direct, or through a relay while the store is unreachable on the direct connection. */
 class StoreConnection(private val direct: Transport, private val health: StoreHealth, private val relays: RelayPool) :
     Transport {
     override suspend fun call(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
@@ -22,10 +22,13 @@
                 direct.call(method, target, body, timeoutMs).also(health::recordReply)
             }
         val relayed = if (mayBeRelayed(reply)) relay(method, target, body, timeoutMs) else null
-        return relayed ?: reply ?: Reply.None("the store became unreachable meanwhile")
+        return relayed ?: reply ?: Reply.None("the store became unreachable during the request")
     }
 
-    /** Finds out, until cancelled, when the direct connection works again. */
+    /**
+     * Checks at intervals, while the store is unreachable, whether the direct connection works again. Runs until
+     * cancelled.
+     */
     suspend fun probe() {
         while (true) {
             health.unreachable.first { it }
@@ -36,8 +39,8 @@
     }
 
     /**
-     * Whether the same request may be sent again, through a relay: a read that was given up (null) and what got a 503
-     * was not carried out. What got no answer may have been.
+     * Whether the same request may be sent again through a relay. That is so for an abandoned read (null) and after a
+     * 503, which means that the store did not apply the request; a request without an answer may have been applied.
      */
     private fun mayBeRelayed(reply: Reply?): Boolean {
         if (!health.unreachable.value) return false
@@ -51,8 +54,8 @@
     }
 
     /**
-     * A watch stays open, and silent, when this controller is cut off: it is given up (null) as soon as another request
-     * shows that.
+     * Sends a GET on the direct connection. Returns null if the store becomes unreachable before the reply arrives: a
+     * watch would otherwise stay open without events on a partitioned connection, until its timeout.
      */
     private suspend fun getDirectly(target: String, timeoutMs: Long): Reply? = coroutineScope {
         val answer = async { direct.call("GET", target, null, timeoutMs).also(health::recordReply) }
--- a/src/main/kotlin/io/otterknot/store/StoreHealth.kt
+++ b/src/main/kotlin/io/otterknot/store/StoreHealth.kt
@@ -5,23 +5,23 @@
 import kotlinx.coroutines.flow.MutableStateFlow
 import kotlinx.coroutines.flow.StateFlow
 
-/** Whether the store answers this controller on the direct connection. */
+/** Tracks whether the store answers this controller on the direct connection. */
 class StoreHealth(private val nowMs: () -> Long) {
     private var consecutiveFailures = 0
     private var failingSinceMs = 0L
     private val unreachableFlow = MutableStateFlow(false)
 
-    /** When the store last answered, directly or through a relay, by this controller's steady clock. */
+    /** When the store last answered, directly or through a relay, by this controller's monotonic clock. */
     var lastAnswerMs = nowMs()
         private set
 
-    /** The store has not answered [MIN_FAILURES] times in a row, over [MIN_FAILING_MS] at least. */
+    /** Whether at least [MIN_FAILURES] direct requests in a row, over at least [MIN_FAILING_MS], got no answer. */
     val unreachable: StateFlow<Boolean> get() = unreachableFlow
 
-    /** The last direct request was answered: this controller can relay requests of others. */
+    /** Whether the last direct request was answered, so that this controller can relay requests of others. */
     val isAnswering: Boolean get() = consecutiveFailures == 0
 
-    /** Takes account of what came of a direct request. */
+    /** Records the outcome of a direct request. */
     fun recordReply(reply: Reply) {
         if (isAnswer(reply)) {
             consecutiveFailures = 0
@@ -34,7 +34,7 @@
         if (consecutiveFailures >= MIN_FAILURES && isLasting) unreachableFlow.value = true
     }
 
-    /** The store has answered a request that a relay carried. */
+    /** Records that the store answered a request that was sent through a relay. */
     fun recordRelayedAnswer() {
         lastAnswerMs = nowMs()
     }
@@ -43,7 +43,10 @@
         private const val MIN_FAILURES = 2
         private const val MIN_FAILING_MS = 400L
 
-        /** Whether the store has answered; 503 is an outage, or the store refuses this controller alone (PROTOCOL). */
+        /**
+         * Whether [reply] is an answer of the store. A 503 is not: the store has an outage or refuses this controller
+         * alone (PROTOCOL).
+         */
         fun isAnswer(reply: Reply): Boolean = reply is Reply.Answer && reply.status != HttpStatus.SERVICE_UNAVAILABLE
     }
 }
--- a/src/main/kotlin/io/otterknot/store/StoreReplica.kt
+++ b/src/main/kotlin/io/otterknot/store/StoreReplica.kt
@@ -6,12 +6,15 @@
 import kotlin.random.Random
 
 /**
- * A copy of everything that the controllers keep in the store: every key is as it was at [revision] or, after all has
- * been read page by page, later; no key ever goes back. Only the watch and such a reading change it, so own
- * transactions show here when the watch brings them, never before. Confined to the controller's event loop.
+ * A replica of all keys that the controllers keep in the store. Every key is as of [revision] or, after the keys were
+ * loaded page by page, as of a later revision; no key returns to an earlier version. Only the watch and a full load
+ * change the replica, so this controller's own transactions appear in it only when the watch delivers them. Confined
+ * to the controller's event loop.
  *
- * [followWatch] and [serveReadBarriers] have to run in the background. [pauseMs]: the pause between two watches, and
- * between two reads of the barrier, by which each controller stays within its share of the store's rate limits.
+ * [followWatch] and [serveReadBarriers] have to run in the background.
+ *
+ * @param pauseMs the pause between two watches, and between two reads of the read barrier, that keeps each controller
+ * within its share of the store's rate limits.
  */
 class StoreReplica(
     private val client: KeyValueStoreClient,
@@ -30,55 +33,56 @@
             contents.onChange = value
         }
 
-    /** Called once a batch of changes has been applied. */
+    /** Called after each batch of changes has been applied. */
     var onBatchApplied: () -> Unit
         get() = contents.onBatchApplied
         set(value) {
             contents.onBatchApplied = value
         }
 
-    /** Every change up to this revision is in the copy; negative before the first load. */
+    /** The revision up to which the replica has every change; negative before the first load. */
     val revision: Long get() = contents.revision.value
     val isLoaded: Boolean get() = contents.isLoaded
 
     operator fun get(key: String): ReplicaEntry? = contents[key]
 
-    /** The present state of [key], to decide a change of it on. */
+    /** Returns the state of [key] in the replica, as the basis of a conditional change. */
     fun snapshot(key: String): Snapshot<JsonElement> =
         contents[key]?.let { Snapshot(key, it.value, it.version) } ?: Snapshot.absent(key)
 
-    /** The entries whose keys begin with [prefix], in the order of the keys. */
+    /** Returns the entries whose keys begin with [prefix], ordered by key. */
     fun entriesUnder(prefix: String): List<Pair<String, ReplicaEntry>> = contents.entriesUnder(prefix)
 
     suspend fun awaitLoaded() {
         contents.revision.first { isLoaded }
     }
 
-    /** Waits until this copy has all changes up to [revision]; false if it does not in time. */
+    /** Waits until the replica has all changes up to [revision]. Returns false on a timeout. */
     suspend fun awaitRevision(revision: Long, timeoutMs: Long): Boolean = watcher.awaitRevision(revision, timeoutMs)
 
     /**
-     * Waits until this copy has everything that was in the store when the call began (a linearizable read). One read
-     * of the store serves all that wait; false if it gets no answer or the watch does not catch up in time.
+     * Waits until the replica has everything that was in the store when the call began (a linearizable read). One read
+     * of the store serves all waiting callers. Returns false if the read gets no answer or the watch does not catch up
+     * in time.
      */
     suspend fun awaitReadBarrier(timeoutMs: Long): Boolean {
         if (!isLoaded) return false
-        val passage = barrier.enter()
-        val enteredMs = nowMs()
-        val isCaughtUp = withTimeoutOrNull(timeoutMs) { passage.await() } ?: false
-        client.metrics.recordDuration("barrier", nowMs() - enteredMs)
+        val completion = barrier.enter()
+        val startedMs = nowMs()
+        val isCaughtUp = withTimeoutOrNull(timeoutMs) { completion.await() } ?: false
+        client.metrics.recordDuration("barrier", nowMs() - startedMs)
         return isCaughtUp
     }
 
-    /** Keeps the copy up to date until cancelled. */
+    /** Keeps the replica up to date until cancelled. */
     suspend fun followWatch() = watcher.run()
 
     /** Serves [awaitReadBarrier] until cancelled. */
     suspend fun serveReadBarriers() = barrier.run()
 
     /**
-     * Changes that the store is known to have do not arrive: the watch is given up and opened anew, directly or through
-     * a relay, whichever works now.
+     * Closes the watch and opens it again, directly or through a relay, whichever works now. Called when changes that
+     * the store is known to have do not arrive.
      */
     fun reopenWatch() = watcher.reopen()
 }
--- a/src/main/kotlin/io/otterknot/store/WatchResult.kt
+++ b/src/main/kotlin/io/otterknot/store/WatchResult.kt
@@ -2,11 +2,11 @@
 
 import io.otterknot.wire.WatchEvents
 
-/** What one watch request brought. */
+/** The result of one watch request. */
 sealed interface WatchResult {
     class Events(val events: WatchEvents) : WatchResult
 
-    /** The store no longer has the changes after the revision that was asked for (etcd: compacted). */
+    /** The store no longer has the changes after the requested revision (etcd: compacted). */
     data object Compacted : WatchResult
 
     class Failed(val reason: String) : WatchResult
--- a/src/test/kotlin/io/otterknot/store/StoreReplicaTest.kt
+++ b/src/test/kotlin/io/otterknot/store/StoreReplicaTest.kt
@@ -22,30 +22,31 @@
 import org.junit.jupiter.params.provider.CsvSource
 import kotlin.random.Random
 
-/** How long a reader waits for the replica, and what that costs in requests. */
+/** Latency of read barriers, the number of store requests that they cause, and the order of the replica's changes. */
 class StoreReplicaTest {
     /**
-     * Readers come every 100 ms, and something is written before each: while requests are ample none waits for the
-     * pause between two watches; while they are scarce, the pauses keep the node within its share (and the
-     * burst of one second).
+     * A reader enters every 100 ms, after a write. While requests are ample, no reader waits for the pause between two
+     * watches. While they are scarce, the pauses keep the controller within its share of the rate limit, including the
+     * burst of one second.
      */
     @OptIn(ExperimentalCoroutinesApi::class)
     @ParameterizedTest
     @CsvSource("200,40,0", "12,2000,15")
-    fun `what is waited for is fetched at once while requests are ample`(
+    fun `changes that a reader waits for are fetched without a pause while requests are ample`(
         perS: Double,
         maxWaitMs: Long,
         maxRequestsPerS: Int,
     ) = runTest {
         val now = { testScheduler.currentTime }
-        val state = FakeKeyValueStore(this, Random(1), now)
+        val store = FakeKeyValueStore(this, Random(1), now)
         var requests = 0
-        val link = state.link("n")
-        val counted = Transport { method, target, body, timeoutMs ->
+        val link = store.link("n")
+        val countingTransport = Transport { method, target, body, timeoutMs ->
             requests++
             link.call(method, target, body, timeoutMs)
         }
-        val client = KeyValueStoreClient(counted, counted, RateLimiter(perS, 100.0, now), Metrics(now))
+        val client =
+            KeyValueStoreClient(countingTransport, countingTransport, RateLimiter(perS, 100.0, now), Metrics(now))
         val replica = StoreReplica(client, Random(1), now, pauseMs = 250)
         val background = listOf(launch { replica.followWatch() }, launch { replica.serveReadBarriers() })
         replica.awaitLoaded()
@@ -54,11 +55,11 @@
         val requestsBefore = requests
         val waits = ArrayList<Long>()
         repeat(40) {
-            state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(it)))
+            store.store(KeyChange(put = "o/x/a", value = JsonPrimitive(it)))
             launch {
-                val entered = currentTime
+                val startedMs = currentTime
                 replica.awaitReadBarrier(5_000)
-                waits.add(currentTime - entered)
+                waits.add(currentTime - startedMs)
             }
             delay(100)
         }
@@ -70,13 +71,13 @@
         background.forEach { it.cancel() }
     }
 
-    /** The read under way may have been carried out before the later question came. */
+    /** The store may have served the read in flight before the second caller entered the barrier. */
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
     fun `a read barrier entered during another read waits for a read of its own`() = runTest {
         var answerMs = 0L
-        val fixture = StoreFixture(this) { service ->
-            val link = service.link("n")
+        val fixture = StoreFixture(this) { store ->
+            val link = store.link("n")
             Transport { method, target, body, timeoutMs ->
                 link.call(method, target, body, timeoutMs).also { if (target == "/store/o/none") delay(answerMs) }
             }
@@ -87,7 +88,7 @@
         answerMs = 400
         val first = async { replica.awaitReadBarrier(5_000) }
         delay(100)
-        // Nothing of this is shown by the watch before the first barrier is through.
+        // The watch does not deliver this change before the first barrier has passed.
         fixture.state.watchless = "n"
         fixture.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(7)))
         val second = async { replica.awaitReadBarrier(5_000) to replica["o/x/a"]?.value }
@@ -99,18 +100,18 @@
 
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
-    fun `loading everything again never takes a key back to an earlier version`() = runTest {
-        var old: Reply? = null
-        val fixture = StoreFixture(this) { service ->
-            val link = service.link("n")
+    fun `a reload from an earlier revision does not return a key to an earlier version`() = runTest {
+        var firstPage: Reply? = null
+        val fixture = StoreFixture(this) { store ->
+            val link = store.link("n")
             Transport { method, target, body, timeoutMs ->
                 val reply = link.call(method, target, body, timeoutMs)
-                if (target.startsWith("/store?")) old ?: reply.also { old = it } else reply
+                if (target.startsWith("/store?")) firstPage ?: reply.also { firstPage = it } else reply
             }
         }
         val replica = fixture.replica
-        val shown = ArrayList<Any?>()
-        replica.onChange = { _, entry -> shown.add(entry?.value) }
+        val observedValues = ArrayList<Any?>()
+        replica.onChange = { _, entry -> observedValues.add(entry?.value) }
         fixture.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(1)))
         val background = launch { replica.followWatch() }
         replica.awaitLoaded()
@@ -121,13 +122,13 @@
         repeat(3) { fixture.state.store(KeyChange(put = "o/x/b", value = JsonPrimitive(it))) }
         delay(3_000)
         assertEquals(JsonPrimitive(2), replica["o/x/a"]?.value)
-        assertEquals(listOf<Any?>(JsonPrimitive(1), JsonPrimitive(2)), shown.take(2))
+        assertEquals(listOf<Any?>(JsonPrimitive(1), JsonPrimitive(2)), observedValues.take(2))
         background.cancel()
     }
 
     @OptIn(ExperimentalCoroutinesApi::class)
     @Test
-    fun `a read barrier does not pass while the watch brings nothing`() = runTest {
+    fun `a read barrier does not pass while the watch delivers no events`() = runTest {
         val fixture = StoreFixture(this)
         val replica = fixture.replica
         val background = listOf(launch { replica.followWatch() }, launch { replica.serveReadBarriers() })
--- a/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
+++ b/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
@@ -26,7 +26,7 @@
 import kotlin.random.Random
 
 /**
- * What follows when the state service refuses a value or a transaction for its size, although the settings allow it.
+ * Behaviour when the store refuses a value or a transaction as too large although it is within the settings.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class WriteLimitsTest {
@@ -34,10 +34,15 @@
 
     @ParameterizedTest
     @CsvSource("1,4000,3000,40", "1,1100,1024,40", "2,4000,8192,1", "16,100,8192,8", "17,100,8192,8")
-    fun `several changes are halved in number, a single one in size`(count: Int, bytes: Int, value: Int, ops: Int) {
+    fun `a refusal halves the number of several changes and reduces the size of a single one`(
+        count: Int,
+        bytes: Int,
+        maxValueBytes: Int,
+        maxChanges: Int,
+    ) {
         val limits = WriteLimits(8_192, 40)
         limits.reduceAfterRefusal(List(count) { KeyChange(put = "k$it", value = value(bytes)) })
-        assertEquals(value to ops, limits.maxValueBytes to limits.maxTransactionChanges)
+        assertEquals(maxValueBytes to maxChanges, limits.maxValueBytes to limits.maxTransactionChanges)
     }
 
     @Test
@@ -48,75 +53,90 @@
     }
 
     @Test
-    fun `one value that is refused holds up only what depends on it`() = runTest {
-        val bench = StoreFixture(this)
-        val follower = launch { bench.replica.followWatch() }
-        bench.replica.awaitLoaded()
-        bench.state.maxValueBytes = 1_500
-        bench.state.maxOps = 3
-        val writer =
-            BatchWriter(bench.client, bench.replica, Random(1), WriteLimits(8_192, 40)) { testScheduler.currentTime }
+    fun `a value that is refused as too large blocks only the writes that depend on it`() = runTest {
+        val fixture = StoreFixture(this)
+        val background = launch { fixture.replica.followWatch() }
+        fixture.replica.awaitLoaded()
+        fixture.state.maxValueBytes = 1_500
+        fixture.state.maxOps = 3
+        val writer = BatchWriter(fixture.client, fixture.replica, Random(1), WriteLimits(8_192, 40)) {
+            testScheduler.currentTime
+        }
         val small = (1..9).map { PendingWrite("o/d/a/$it", value(100)) }
         val large = PendingWrite("o/m/a/0", value(2_000))
         val dependent = PendingWrite("o/m/a/1", value(200), dependsOn = setOf(large.key))
         val chained = PendingWrite("o/m/a/2", value(200), dependsOn = setOf(dependent.key))
         val writes = listOf(large, dependent, chained) + small
         while (testScheduler.currentTime < 4_000 && writer.write(VersionCondition("o/p/a", 0), writes) {}) Unit
-        assertTrue(small.all { bench.state.value(it.key) != null }, "the others are written")
-        val heldUpKeys = writes.take(3).map { it.key }
-        assertTrue(heldUpKeys.all { bench.state.value(it) == null }, "nothing is given up that nobody has taken")
+        assertTrue(small.all { fixture.state.value(it.key) != null }, "independent writes are not blocked")
+        val blockedKeys = writes.take(3).map { it.key }
+        assertTrue(blockedKeys.all { fixture.state.value(it) == null }, "dependent writes wait for the refused value")
         val smaller = PendingWrite(large.key, value(1_000))
         while (writer.write(VersionCondition("o/p/a", 0), listOf(smaller, dependent, chained)) {}) Unit
-        assertTrue(writes.all { bench.state.value(it.key) != null }, "once it is smaller, all are written at once")
+        assertTrue(writes.all { fixture.state.value(it.key) != null }, "all are written once the value is smaller")
         assertTrue(testScheduler.currentTime < 7_000)
-        follower.cancel()
+        background.cancel()
     }
 
-    /** Answers each transaction with the next status; null: no answer comes. */
-    private fun script(state: FakeKeyValueStore, statuses: List<Int?>): Transport {
-        val left = ArrayDeque(statuses)
+    /** Answers each transaction on jobs with the next of [statuses]; null stands for no answer. */
+    private fun scriptedTransport(state: FakeKeyValueStore, statuses: List<Int?>): Transport {
+        val remaining = ArrayDeque(statuses)
         val link = state.link("n")
         return Transport { method, target, body, timeoutMs ->
             val isChange = target == "/txn" && body!!.decodeToString().contains(StoreKeys.JOBS)
-            val status = if (isChange && left.isNotEmpty()) left.removeFirst() else 0
+            val status = if (isChange && remaining.isNotEmpty()) remaining.removeFirst() else 0
             when (status) {
                 0 -> link.call(method, target, body, timeoutMs)
-                null -> Reply.None("lost")
-                else -> Reply.Answer(status, """{"error":"trouble"}""".encodeToByteArray())
+                null -> Reply.None("no answer")
+                else -> Reply.Answer(status, """{"error":"refused"}""".encodeToByteArray())
             }
         }
     }
 
-    /** A transaction without an answer may be carried out late: to go on as if it were not could start tasks twice. */
+    /**
+     * A transaction without an answer may be applied late. Treating it as not applied could start tasks twice, so the
+     * partition's fencing token must change first.
+     */
     @ParameterizedTest
     @CsvSource("400|,NOT_APPLIED", "429|503|400|,NOT_APPLIED", "|400|,LEADERSHIP_LOST", "429|,APPLIED", "||,APPLIED")
-    fun `a change refused for its size is settled only if no earlier try of it may still come`(
+    fun `a change refused as too large counts as not applied only if no earlier attempt can still be applied`(
         answers: String,
         expected: String,
     ) = runTest {
         val statuses = answers.split('|').dropLast(1).map { it.toIntOrNull() }
-        val bench = StoreFixture(this) { script(it, statuses) }
+        val fixture = StoreFixture(this) { scriptedTransport(it, statuses) }
         val partitions = HashMap<String, Partition>()
-        val leadership = bench.leadership("n", mapOf("n" to "a"), partitions = partitions)
-        val running = launch {
-            launch { bench.replica.followWatch() }
+        val leadership = fixture.leadership("n", mapOf("n" to "a"), partitions = partitions)
+        val background = launch {
+            launch { fixture.replica.followWatch() }
             launch { leadership.keepStoreLease() }
             launch { leadership.acquirePartitions() }
         }
 
-        bench.replica.awaitLoaded()
+        fixture.replica.awaitLoaded()
         while (leadership.actingToken("a") == null) kotlinx.coroutines.delay(50)
         val token = leadership.actingToken("a")!!
         val partition = testPartition(emptyList(), fencingToken = token) { null }
         partitions["a"] = partition
-        val txn =
-            FencedTransactions(bench.client, bench.replica, leadership, partitions, WriteLimits(8_192, 40), Random(1))
-        val settled = txn.settle(partition, CompareAndSwap.put(Snapshot.absent(StoreKeys.job("j-1")), value(100)))
+        val transactions = FencedTransactions(
+            fixture.client,
+            fixture.replica,
+            leadership,
+            partitions,
+            WriteLimits(8_192, 40),
+            Random(1),
+        )
+        val settled =
+            transactions.settle(partition, CompareAndSwap.put(Snapshot.absent(StoreKeys.job("j-1")), value(100)))
         assertEquals(expected, settled.name)
         kotlinx.coroutines.delay(2_000)
         val lost = expected == "LEADERSHIP_LOST"
-        assertEquals(lost, leadership.actingToken("a")!! > token, "what may still come is guarded by the token before")
-        running.cancel()
+        assertEquals(
+            lost,
+            leadership.actingToken("a")!! > token,
+            "an attempt that may still be applied is conditional on the previous fencing token",
+        )
+        background.cancel()
         currentCoroutineContext().cancelChildren()
     }
 }
