--- a/src/main/kotlin/io/otterknot/records/DependencySegmentRecord.kt
+++ b/src/main/kotlin/io/otterknot/records/DependencySegmentRecord.kt
@@ -4,8 +4,9 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Some of the jobs that a job depends on; a long list needs more than one key. [ids]: what follows "j-" in their names,
- * with spaces between.
+ * Part of the list of jobs that a job depends on; a long list needs more than one key.
+ *
+ * @property ids the ids of these jobs without the prefix "j-", separated by spaces
  */
 @Serializable
 data class DependencySegmentRecord(@SerialName("i") val ids: String) {
--- a/src/main/kotlin/io/otterknot/records/MachineSegmentRecord.kt
+++ b/src/main/kotlin/io/otterknot/records/MachineSegmentRecord.kt
@@ -3,6 +3,6 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Machines that may run tasks of a partition, with their types; one key has many, as changes are rate-limited. */
+/** Types of machines that may run tasks of a partition, by machine id; many share a key, as writes are rate-limited. */
 @Serializable
 data class MachineSegmentRecord(@SerialName("m") val types: Map<String, String> = emptyMap())
--- a/src/main/kotlin/io/otterknot/records/PartitionLoadRecord.kt
+++ b/src/main/kotlin/io/otterknot/records/PartitionLoadRecord.kt
@@ -4,9 +4,9 @@
 import kotlinx.serialization.Serializable
 
 /**
- * A partition as the others see it: the mean load of its machines and the cores behind it; and the same for its
- * ordinary machines alone with the tasks that may run on no other, since those cannot use what is free on spot
- * machines.
+ * The load of a partition, published for the other partitions: the mean load of its machines and their cores. The
+ * same is given for its ordinary machines and the tasks that may run only on these, since such tasks cannot use
+ * free capacity of spot machines.
  */
 @Serializable
 data class PartitionLoadRecord(
@@ -14,35 +14,35 @@
     @SerialName("c") val cores: Double = 0.0,
     @SerialName("om") val ordinaryMeanLoad: Double = 0.0,
     @SerialName("oc") val ordinaryCores: Double = 0.0,
-    /** By team: cores and GPUs that waiting tasks need beyond the partition's quota share. */
+    /** By team: the cores and GPUs that waiting tasks need beyond the partition's quota share. */
     @SerialName("n") val quotaNeeds: Map<String, QuotaAmount> = emptyMap(),
-    /** What load spread needs to know; null where that is off, or the leader is of a version before it. */
+    /** The input of load spread, or null if it is off or the leader runs a version without it. */
     @SerialName("l") val pressure: PressureRecord? = null,
 )
 
-/** The demand on a partition: by team what is used and what waits, and what decides how long work waits there. */
+/** The demand on a partition: usage and pending demand by team, and the values that determine how long tasks wait. */
 @Serializable
 data class PressureRecord(
     @SerialName("t") val teams: Map<String, TeamPressureRecord> = emptyMap(),
-    /** The memory of its machines. */
+    /** Memory of its machines. */
     @SerialName("m") val memoryGb: Double = 0.0,
-    /** The GPUs of its machines. */
+    /** GPUs of its machines. */
     @SerialName("g") val gpus: Double = 0.0,
-    /** How long tasks run there on average, in seconds; null: not known yet. */
+    /** Average run time of the partition's tasks in seconds, or null if it is not known yet. */
     @SerialName("r") val meanRunS: Double? = null,
     /** Images that many of its machines have. */
     @SerialName("i") val images: List<String> = emptyList(),
-    /** How many times as long the fetch of an image takes there as by the nominal rate. */
+    /** Ratio of the measured duration of an image fetch to its duration at the nominal rate. */
     @SerialName("f") val fetchFactor: Double = 1.0,
 )
 
-/** What one team uses in a partition, and what of it waits there. */
+/** The capacity that one team uses in a partition, and its pending demand there. */
 @Serializable
 data class TeamPressureRecord(
     @SerialName("c") val cores: Double = 0.0,
     @SerialName("m") val memoryGb: Double = 0.0,
     @SerialName("g") val gpus: Double = 0.0,
     @SerialName("w") val waitingCores: Double = 0.0,
-    /** Since when its oldest waiting task could run, by the time of day in milliseconds; null: nothing waits. */
+    /** Wall-clock time since when the team's oldest waiting task could run, or null if no task waits. */
     @SerialName("o") val oldestReadyMs: Long? = null,
 )
--- a/src/main/kotlin/io/otterknot/records/RecordJson.kt
+++ b/src/main/kotlin/io/otterknot/records/RecordJson.kt
@@ -7,6 +7,6 @@
 fun <T> encodeRecord(serializer: KSerializer<T>, record: T): JsonElement =
     WireJson.encodeToJsonElement(serializer, record)
 
-/** Throws [kotlinx.serialization.SerializationException] if [value] is no such record; ignores unknown fields. */
+/** Throws [kotlinx.serialization.SerializationException] if [value] is not such a record; ignores unknown fields. */
 fun <T> decodeRecord(serializer: KSerializer<T>, value: JsonElement): T =
     WireJson.decodeFromJsonElement(serializer, value)
--- a/src/main/kotlin/io/otterknot/records/StoreKeys.kt
+++ b/src/main/kotlin/io/otterknot/records/StoreKeys.kt
@@ -1,6 +1,6 @@
 package io.otterknot.records
 
-/** The keys in the store under which the controllers keep their state. They are a format: see docs/design.md. */
+/** The keys of the store under which the controllers keep their state. They are a stored format: see docs/design.md. */
 object StoreKeys {
     /** Prefix of every key. */
     const val ROOT = "o/"
@@ -17,7 +17,7 @@
     /** Prefix of the [LeaderRecord]s; the version of such a key is the partition's fencing token. */
     const val PARTITIONS = "o/p/"
 
-    /** Prefix of the markers of forced takeovers. */
+    /** Prefix of the [takeoverMarker]s. */
     const val TAKEOVERS = "o/x/"
 
     /** Prefix of the [MachineSegmentRecord]s. */
@@ -36,12 +36,15 @@
 
     fun dependencySegment(job: String, segment: Int) = "$DEPENDENCIES$job/$segment"
 
-    /** [segment]: fencing token of the leader that wrote it and a number; empty: the prefix of all of [zone]. */
+    /**
+     * The key of a completion segment. [segment] consists of the fencing token of the leader that wrote it and a
+     * number; if it is empty, the result is the prefix of all completion segments of [zone].
+     */
     fun completionSegment(zone: String, segment: String) = "$COMPLETIONS$zone/$segment"
 
     fun partition(zone: String) = PARTITIONS + zone
 
-    /** Present while the leader that was overridden may still act. */
+    /** The key that exists after a forced takeover for as long as the previous leader may still act. */
     fun takeoverMarker(zone: String) = TAKEOVERS + zone
 
     /** Prefix of the machine segments of [zone]. */
--- a/src/main/kotlin/io/otterknot/records/TaskSpan.kt
+++ b/src/main/kotlin/io/otterknot/records/TaskSpan.kt
@@ -4,13 +4,13 @@
 import kotlinx.serialization.Serializable
 import java.util.BitSet
 
-/** Tasks [from] until [until], exclusive, belong to the partition of [zone]. */
+/** The tasks from [from] to [until], exclusive, which belong to the partition of [zone]. */
 @Serializable
 data class TaskSpan(@SerialName("z") val zone: String, @SerialName("f") val from: Int, @SerialName("u") val until: Int)
 
-/** Which partitions the tasks of a job belong to, as [TaskSpan]s in the order of the tasks. */
+/** Operations on the assignment of a job's tasks to partitions, as [TaskSpan]s in the order of the tasks. */
 object TaskSpans {
-    /** [spans] once [tasks] belong to [zone]; neighbours of the same zone become one span. */
+    /** Returns [spans] with [tasks] assigned to [zone]; adjacent spans of the same zone are merged. */
     fun reassign(spans: List<TaskSpan>, tasks: BitSet, zone: String): List<TaskSpan> {
         val result = ArrayList<TaskSpan>()
         for (span in spans.sortedBy { it.from }) {
@@ -25,7 +25,10 @@
         return result
     }
 
-    /** Where the run of tasks that, like [from], are in [tasks] or are not, ends; [limit] at the latest. */
+    /**
+     * Returns the exclusive end, at most [limit], of the run of tasks that begins at [from] and is completely in
+     * [tasks] or completely outside.
+     */
     private fun endOfRun(tasks: BitSet, from: Int, limit: Int): Int {
         val next = if (tasks.get(from)) tasks.nextClearBit(from) else tasks.nextSetBit(from)
         return if (next < 0) limit else minOf(next, limit)
--- a/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test
 import java.util.BitSet
 
-/** What the version in production wrote is read, and what is written now it can read. */
+/** Compatibility with the production version: this version reads its records, and it can read those of this version. */
 class StoredFormatTest {
     private fun json(text: String): JsonElement = WireJson.parseToJsonElement(text)
 
@@ -32,7 +32,7 @@
     )
 
     @Test
-    fun `records as production wrote them are read, and written back alike`() {
+    fun `records of the production version are read and written back unchanged`() {
         val job = decodeRecord(JobRecord.serializer(), productionJob)
         assertEquals(
             listOf("j-000412", 16, null, null, null),
@@ -42,7 +42,7 @@
         assertEquals(
             productionJob,
             encodeRecord(JobRecord.serializer(), job),
-            "a handover of a job that awaits nothing brings no new field",
+            "rewriting a job without dependencies adds no new field",
         )
         val final = decodeRecord(JobRecord.serializer(), json("""{"a":[],"t":0,"x":"d","c":16}"""))
         assertEquals(listOf(TerminalState.DONE, 16, null), listOf(final.terminalState, final.taskCount, final.endedMs))
@@ -58,8 +58,8 @@
             """{"z":{"a":{"c":4.0,"g":0.0},"b":{"c":8.0,"g":0.0}}}""" to QuotaSharesRecord.serializer(),
         )) {
             @Suppress("UNCHECKED_CAST")
-            val any = serializer as KSerializer<Any>
-            assertEquals(json(text), encodeRecord(any, decodeRecord(any, json(text))))
+            val recordSerializer = serializer as KSerializer<Any>
+            assertEquals(json(text), encodeRecord(recordSerializer, decodeRecord(recordSerializer, json(text))))
         }
         assertEquals(
             QuotaAmount(12.0),
@@ -70,13 +70,16 @@
         )
     }
 
-    /** Production drops what it does not know: nothing that it relies on may stand there. */
+    /** The production version drops unknown fields, so none of the values that it needs may be in such a field. */
     @Test
-    fun `records as they are written now are what production expects, without what it drops`() {
+    fun `the production version reads current records as it expects, apart from unknown fields`() {
         val job = Job("j-000412").also { it.applyRecord(decodeRecord(JobRecord.serializer(), productionJob)) }
         job.completedTasks.set(0, job.spec!!.tasks)
-        val end = JobTransitions.finish(job, 5_000, WriteLimits(2_048, 6))!!.changes.single()
-        assertEquals(json("""{"a":[],"t":0,"x":"d","c":16}"""), ProductionVersionTransport.record(end.key, end.value!!))
+        val terminalChange = JobTransitions.finish(job, 5_000, WriteLimits(2_048, 6))!!.changes.single()
+        assertEquals(
+            json("""{"a":[],"t":0,"x":"d","c":16}"""),
+            ProductionVersionTransport.record(terminalChange.key, terminalChange.value!!),
+        )
         val waiting = JobRecord(
             JobSpec(
                 "j-1", "k", "red", Priority.HIGH, 2, 1.0, memoryGb = 1.0, image = "i", imageGb = 1.0, estimateS = 1.0,
@@ -96,9 +99,9 @@
         )
     }
 
-    /** With chunks of the usual size the last ones of a large job alone would pass a value of 2 KiB. */
+    /** In chunks of the usual size, each of the last chunks of a large job would exceed a value of 2 KiB. */
     @Test
-    fun `completions of a large job are kept in small chunks, beside those that production reads`() {
+    fun `completions of a large job are kept in small chunks, next to those that the production version reads`() {
         val tasks = BitSet().also {
             it.set(0, 100)
             it.set(16_000)
@@ -132,7 +135,7 @@
     }
 
     @Test
-    fun `frames of controllers are production's, byte for byte`() {
+    fun `frames between controllers equal those of the production version byte for byte`() {
         fun hex(bytes: ByteArray) = bytes.joinToString("") { "%02x".format(it) }
         for ((message, frame) in listOf(
             PeerMessage.IdlePartitionQuery to "0000000101",
--- a/src/test/kotlin/io/otterknot/records/TaskBitmapsTest.kt
+++ b/src/test/kotlin/io/otterknot/records/TaskBitmapsTest.kt
@@ -6,7 +6,7 @@
 
 class TaskBitmapsTest {
     @Test
-    fun `a set of tasks survives encoding in chunks`() {
+    fun `a set of tasks is unchanged after encoding and decoding in chunks`() {
         val bits = BitSet().also {
             it.set(3)
             it.set(TaskBitmaps.CHUNK_TASKS - 1)
