--- a/src/main/kotlin/io/otterknot/store/ReplicaContents.kt
+++ b/src/main/kotlin/io/otterknot/store/ReplicaContents.kt
@@ -46,7 +46,7 @@
     fun replaceAll(read: Map<String, ReplicaEntry>, revision: Long): Boolean {
         if (revision < revisionFlow.value) {
             log.error(
-                "revision={} replica reload ignored: it is at earlier revision={}, and no key may go back",
+                "revision={} replica reload ignored: earlier revision={} would roll back keys",
                 revisionFlow.value,
                 revision,
             )
