--- a/src/main/kotlin/io/otterknot/http/HttpClient.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpClient.kt
@@ -70,7 +70,7 @@
                 ?: return failed("no status code in the first line of the response")
         val bodyBytes = head["Content-Length"]?.toIntOrNull()
         if (bodyBytes == null || bodyBytes > MAX_BODY_BYTES) {
-            return failed("response Content-Length must be 0 to $MAX_BODY_BYTES, not ${head["Content-Length"]}")
+            return failed("response Content-Length must be a whole number from 0 to $MAX_BODY_BYTES")
         }
         if (!connection.receive(bodyBytes.toLong())) return failed("connection closed within the response body")
         val body = connection.input.readByteArray(bodyBytes.toLong())
--- a/src/main/kotlin/io/otterknot/http/RequestReader.kt
+++ b/src/main/kotlin/io/otterknot/http/RequestReader.kt
@@ -56,7 +56,7 @@
         return when {
             bodyBytes == null || bodyBytes < 0 -> invalid(
                 HttpStatus.BAD_REQUEST,
-                "Content-Length must be 0 to $maxBodyBytes, not $lengthField",
+                "Content-Length must be a whole number from 0 to $maxBodyBytes",
             )
 
             bodyBytes > maxBodyBytes -> bodyTooLarge()
