--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -294,7 +294,7 @@
                 } else {
                     read.applyDependencySegment(change.key, entry)
                 }
-                assertTrue(affected.none { it.isReady }, "no job is ready before all its dependencies are done")
+                assertTrue(affected.none { it.isReady }, "not all segments of the dependency list have been read yet")
                 if (index == order.size - 1) assertEquals(list(900).toSet(), read[id(1)]!!.dependencies.jobIds)
             }
             // The end of the job removes its dependency segments, whatever they contain.
