--- a/src/main/kotlin/io/otterknot/config/HostPortSetting.kt
+++ b/src/main/kotlin/io/otterknot/config/HostPortSetting.kt
@@ -13,6 +13,10 @@
     val port = text.substringAfterLast(':', "").toIntOrNull()
     val host = text.substringBeforeLast(':', "")
     val isValid = host.isNotEmpty() && port != null && port in 0..MAX_PORT
-    if (!isValid || port == null) throw InvalidSettingsException("$name is not HOST:PORT: $text")
+    if (!isValid || port == null) {
+        throw InvalidSettingsException(
+            "$name is ${quoted(text)}, but must be HOST:PORT with a port from 0 to $MAX_PORT",
+        )
+    }
     return HostPort(host, port)
 }
--- a/src/main/kotlin/io/otterknot/config/OperatorSettings.kt
+++ b/src/main/kotlin/io/otterknot/config/OperatorSettings.kt
@@ -25,7 +25,7 @@
             // The file is optional.
             return OperatorSettings()
         } catch (e: IOException) {
-            throw InvalidSettingsException("cannot read the operators' file $path: ${e.javaClass.simpleName}", e)
+            throw InvalidSettingsException("cannot read the operators' file $path: ${reasonOf(e)}", e)
         }
         return parse(text)
     }
@@ -38,12 +38,19 @@
     fun parse(text: String): OperatorSettings {
         val sections = sections(text)
         val repeated = sections.groupBy { it.name }.values.firstOrNull { it.size > 1 }
-        if (repeated != null) throw InvalidSettingsException("section ${repeated.first().name} stands twice")
+        if (repeated != null) {
+            throw InvalidSettingsException(
+                "section ${repeated.first().name} occurs ${repeated.size} times, but is allowed once",
+            )
+        }
         var settings = OperatorSettings()
         for (section in sections) {
             settings = when (section.name) {
                 LoadSpreadSettings.SECTION -> settings.copy(loadSpread = LoadSpreadSettings.read(section))
-                else -> throw InvalidSettingsException("unknown section ${section.name}")
+
+                else -> throw InvalidSettingsException(
+                    "unknown section ${section.name}, not one of ${LoadSpreadSettings.SECTION}",
+                )
             }
             section.rejectUnknown()
         }
--- a/src/main/kotlin/io/otterknot/config/SettingsFile.kt
+++ b/src/main/kotlin/io/otterknot/config/SettingsFile.kt
@@ -12,9 +12,6 @@
 object SettingsFile {
     private val toml = Toml(inputConfig = TomlInputConfig(ignoreUnknownNames = true))
 
-    /** Messages of the TOML parser are cut to this length, because some quote the whole input. */
-    private const val MAX_MESSAGE_CHARS = 300
-
     /** The time for a failover: `cancel_s` must exceed `lease_s` by more than this, in seconds. */
     private const val MIN_FAILOVER_S = 4
     private const val MIN_TRANSACTION_CHANGES = 4
@@ -28,9 +25,13 @@
         val text = try {
             Files.readString(path)
         } catch (e: IOException) {
-            throw InvalidSettingsException("cannot read the settings file $path: ${e.javaClass.simpleName}", e)
+            throw InvalidSettingsException("cannot read the settings file $path: ${reasonOf(e)}", e)
+        }
+        return try {
+            parse(text)
+        } catch (e: InvalidSettingsException) {
+            throw InvalidSettingsException("$path: ${e.message}", e)
         }
-        return parse(text)
     }
 
     /**
@@ -42,57 +43,72 @@
         val settings = try {
             toml.decodeFromString(Settings.serializer(), text)
         } catch (e: SerializationException) {
-            throw InvalidSettingsException(oneLine(e), e)
+            throw InvalidSettingsException(tomlErrorMessage(e, text), e)
         } catch (e: IllegalArgumentException) {
-            throw InvalidSettingsException(oneLine(e), e)
+            throw InvalidSettingsException(tomlErrorMessage(e, text), e)
         }
         checkController(settings)
         checkSite(settings.facts)
         return settings
     }
 
-    private fun oneLine(e: Exception): String =
-        e.message.orEmpty().lines().joinToString(" ") { it.trim() }.take(MAX_MESSAGE_CHARS)
-
     private fun checkController(settings: Settings) {
-        requireValid(settings.label.isNotBlank(), "label is empty")
+        requireValid(
+            settings.label.isNotBlank(),
+            "label",
+            quoted(settings.label),
+            "a name that is not blank",
+        )
         HostPort.parse("bind", settings.bind)
         HostPort.parse("peer_listen", settings.peerListen)
         HostPort.parse("endpoints.cloud", settings.endpoints.cloud)
         HostPort.parse("endpoints.state", settings.endpoints.state)
-        settings.members.forEach { HostPort.parse("endpoint of member ${it.label}", it.endpoint) }
-        requireValid(settings.members.none { it.label == settings.label }, "members names this node, ${settings.label}")
+        settings.members.forEach { HostPort.parse("members.endpoint of ${quoted(it.label)}", it.endpoint) }
+        requireValid(
+            settings.members.none { it.label == settings.label },
+            "members.label",
+            quoted(settings.label),
+            "the label of another controller, not of this one",
+        )
     }
 
     private fun checkSite(site: SiteSettings) {
-        requireValid(site.zones.isNotEmpty(), "facts.zones is empty")
-        requireValid(site.nodes >= 1, "facts.nodes is below 1")
+        requireValid(site.zones.isNotEmpty(), "facts.zones", site.zones, "a list of at least one zone")
+        requireValid(site.nodes >= 1, "facts.nodes", site.nodes, "at least 1")
         checkWorkers(site.workers)
         checkStore(site.state)
-        requireValid(site.cloud.rps > 0, "facts.cloud: rps must be above 0")
+        requireValid(site.cloud.rps > 0, "facts.cloud.rps", site.cloud.rps, "above 0")
     }
 
     private fun checkWorkers(workers: WorkerSettings) {
-        requireValid(
-            workers.heartbeatS > 0 && workers.leaseS > 0,
-            "facts.workers: report_s and lease_s must be above 0",
-        )
+        requireValid(workers.heartbeatS > 0, "facts.workers.report_s", workers.heartbeatS, "above 0")
+        requireValid(workers.leaseS > 0, "facts.workers.lease_s", workers.leaseS, "above 0")
         requireValid(
             workers.cancelS > workers.leaseS + MIN_FAILOVER_S,
-            "facts.workers: cancel_s leaves no room for lease_s and a take-over",
+            "facts.workers.cancel_s",
+            workers.cancelS,
+            "above facts.workers.lease_s + $MIN_FAILOVER_S, which is ${workers.leaseS + MIN_FAILOVER_S}, " +
+                "to leave time for a failover",
         )
     }
 
     private fun checkStore(store: StoreSettings) {
-        requireValid(
-            store.leastRps > 0 && store.leastWriteRps > 0,
-            "facts.state: rps and write_rps must be above 0, those of next too",
-        )
-        requireValid(store.leastTxnOps >= MIN_TRANSACTION_CHANGES, "facts.state: txn_ops is below 4, or that of next")
-        requireValid(store.leastValueKb >= 1, "facts.state: value_kb is below 1, or that of next")
+        val next = store.next
+        requireLimit("rps", store.rps, next.rps, "above 0") { it > 0 }
+        requireLimit("write_rps", store.writeRps, next.writeRps, "above 0") { it > 0 }
+        requireLimit("txn_ops", store.txnOps, next.txnOps, "at least $MIN_TRANSACTION_CHANGES") {
+            it >= MIN_TRANSACTION_CHANGES
+        }
+        requireLimit("value_kb", store.valueKb, next.valueKb, "at least 1.0") { it >= 1 }
+    }
+
+    /** Checks a limit of the key-value store, both the [present] value and the one that will replace it, if any. */
+    private fun <T : Any> requireLimit(name: String, present: T, next: T?, allowed: String, isValid: (T) -> Boolean) {
+        requireValid(isValid(present), "facts.state.$name", present, allowed)
+        requireValid(next == null || isValid(next), "facts.state.next.$name", next, allowed)
     }
 
-    private fun requireValid(isValid: Boolean, message: String) {
-        if (!isValid) throw InvalidSettingsException(message)
+    private fun requireValid(isValid: Boolean, setting: String, value: Any?, allowed: String) {
+        if (!isValid) throw InvalidSettingsException("$setting is $value, but must be $allowed")
     }
 }
--- a/src/main/kotlin/io/otterknot/config/SettingsSection.kt
+++ b/src/main/kotlin/io/otterknot/config/SettingsSection.kt
@@ -8,6 +8,9 @@
  * a setting removes it from [values], so that the settings left after all known ones were read are unknown ones.
  */
 internal class SettingsSection private constructor(val name: String, private val values: MutableMap<String, Any?>) {
+    /** The settings that were read, whether set or not, in this order. */
+    private val known = LinkedHashSet<String>()
+
     /**
      * Returns the Boolean value of [setting], or [default] if it is not set.
      *
@@ -64,29 +67,32 @@
      */
     fun rejectUnknown() {
         val unknown = values.keys.firstOrNull() ?: return
-        throw InvalidSettingsException("$name: unknown setting :$unknown")
+        throw InvalidSettingsException("$name: unknown setting :$unknown, not one of " + known.joinToString { ":$it" })
     }
 
-    private fun consume(setting: String, default: Any): Any? = if (setting in values) {
-        values.remove(setting)
-    } else {
-        default
+    private fun consume(setting: String, default: Any): Any? {
+        known.add(setting)
+        return if (setting in values) values.remove(setting) else default
     }
 
     private fun invalid(setting: String, value: Any?, allowed: String) =
-        InvalidSettingsException("$name: :$setting is $value, not $allowed")
+        InvalidSettingsException("$name: :$setting is ${quoted(value)}, not $allowed")
 
     companion object {
+        private const val FORM = "a section is written like (load-spread :mode off)"
+
         /**
          * Converts one S-expression of the file to a section.
          *
          * @throws InvalidSettingsException if [form] is not a list of a name and of pairs of a keyword and a value
          */
         fun of(form: Any?): SettingsSection {
-            val items = form as? List<*> ?: throw InvalidSettingsException("not a section in parentheses: $form")
+            val items = form as? List<*> ?: throw InvalidSettingsException("${quoted(form)} is not a section; $FORM")
             val name =
                 (items.firstOrNull() as? Symbol)?.name
-                    ?: throw InvalidSettingsException("a section without a name: $form")
+                    ?: throw InvalidSettingsException(
+                        "section (${items.joinToString(" ") { quoted(it) }}) has no name; $FORM",
+                    )
             val values = LinkedHashMap<String, Any?>()
             for (pair in items.drop(1).chunked(2)) addPair(name, pair, values)
             return SettingsSection(name, values)
@@ -97,10 +103,15 @@
                 if (!isValid) throw InvalidSettingsException("$section: $message")
             }
             val keyword = pair[0] as? Keyword
-                ?: throw InvalidSettingsException("$section: ${pair[0]} is not a setting, which begins with a colon")
+                ?: throw InvalidSettingsException(
+                    "$section: ${quoted(pair[0])} is not the name of a setting, which begins with a colon",
+                )
             val setting = keyword.name
-            requireValid(pair.size == 2, ":$setting has no value")
-            requireValid(setting !in values, ":$setting stands twice")
+            requireValid(pair.size == 2, ":$setting has no value; $FORM")
+            requireValid(
+                setting !in values,
+                ":$setting is set twice, to ${quoted(values[setting])} and ${quoted(pair[1])}, but is allowed once",
+            )
             values[setting] = pair[1]
         }
     }
--- a/src/test/kotlin/io/otterknot/config/SettingsFileTest.kt
+++ b/src/test/kotlin/io/otterknot/config/SettingsFileTest.kt
@@ -5,8 +5,11 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import org.junit.jupiter.api.io.TempDir
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
+import java.nio.file.Files
+import java.nio.file.Path
 
 class SettingsFileTest {
     private val validSettings = """
@@ -117,4 +120,18 @@
         val exception = assertThrows(InvalidSettingsException::class.java) { SettingsFile.parse(bad) }
         assertEquals(1, exception.message!!.lines().size)
     }
+
+    @Test
+    fun `the message for an invalid settings file names the file`(@TempDir directory: Path) {
+        val file = Files.writeString(directory.resolve("n0.toml"), validSettings.replace("nodes = 2", "nodes = 0"))
+        val exception = assertThrows(InvalidSettingsException::class.java) { SettingsFile.read(file) }
+        assertEquals("$file: facts.nodes is 0, but must be at least 1", exception.message)
+    }
+
+    @Test
+    fun `a message quotes a value with a line break in one line`() {
+        val bad = validSettings.replace("label = \"n0\"", "label = \"\\n\"")
+        val exception = assertThrows(InvalidSettingsException::class.java) { SettingsFile.parse(bad) }
+        assertEquals("label is \"\\n\", but must be a name that is not blank", exception.message)
+    }
 }
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -369,7 +369,7 @@
     fun `a settings file that is not there is told with this line`(@TempDir directory: Path) {
         val path = directory.resolve("none.toml")
         val refusal = assertThrows(InvalidSettingsException::class.java) { SettingsFile.read(path) }
-        assertEquals("cannot read the settings file $path: NoSuchFileException", refusal.message)
+        assertEquals("cannot read the settings file $path: no such file", refusal.message)
     }
 
     @Test
@@ -1445,36 +1445,92 @@
         )
 
         @JvmStatic
-        fun badSettings(): List<BadSetting> = listOf(
-            BadSetting("label = \"holt-0\"", "label = \" \"", "label is empty"),
-            BadSetting("127.0.0.1:8080", "nowhere", "bind is not HOST:PORT: nowhere"),
-            BadSetting("127.0.0.1:8081", "host:65536", "peer_listen is not HOST:PORT: host:65536"),
-            BadSetting("127.0.0.1:1", ":1", "endpoints.cloud is not HOST:PORT: :1"),
-            BadSetting("127.0.0.1:2", "x:y", "endpoints.state is not HOST:PORT: x:y"),
-            BadSetting("[endpoints]", member("holt-1", "x"), "endpoint of member holt-1 is not HOST:PORT: x"),
-            BadSetting("[endpoints]", member("holt-0", "h:1"), "members names this node, holt-0"),
-            BadSetting("zones = [\"a\"]", "zones = []", "facts.zones is empty"),
-            BadSetting("nodes = 1", "nodes = 0", "facts.nodes is below 1"),
-            BadSetting("report_s = 0.8", "report_s = 0.0", "facts.workers: report_s and lease_s must be above 0"),
+        fun badSettings(): List<BadSetting> = badAddresses() + badNumbers() + missingOrOfWrongType()
+
+        private fun badAddresses(): List<BadSetting> = listOf(
+            BadSetting("label = \"holt-0\"", "label = \" \"", "label is \" \", but must be a name that is not blank"),
+            BadSetting(
+                "127.0.0.1:8080",
+                "nowhere",
+                "bind is \"nowhere\", but must be HOST:PORT with a port from 0 to 65535",
+            ),
+            BadSetting(
+                "127.0.0.1:8081",
+                "host:65536",
+                "peer_listen is \"host:65536\", but must be HOST:PORT with a port from 0 to 65535",
+            ),
+            BadSetting(
+                "127.0.0.1:1",
+                ":1",
+                "endpoints.cloud is \":1\", but must be HOST:PORT with a port from 0 to 65535",
+            ),
+            BadSetting(
+                "127.0.0.1:2",
+                "x:y",
+                "endpoints.state is \"x:y\", but must be HOST:PORT with a port from 0 to 65535",
+            ),
+            BadSetting(
+                "[endpoints]",
+                member("holt-1", "x"),
+                "members.endpoint of \"holt-1\" is \"x\", but must be HOST:PORT with a port from 0 to 65535",
+            ),
+            BadSetting(
+                "[endpoints]",
+                member("holt-0", "h:1"),
+                "members.label is \"holt-0\", but must be the label of another controller, not of this one",
+            ),
+        )
+
+        private fun badNumbers(): List<BadSetting> = listOf(
+            BadSetting("zones = [\"a\"]", "zones = []", "facts.zones is [], but must be a list of at least one zone"),
+            BadSetting("nodes = 1", "nodes = 0", "facts.nodes is 0, but must be at least 1"),
+            BadSetting("report_s = 0.8", "report_s = 0.0", "facts.workers.report_s is 0.0, but must be above 0"),
             BadSetting(
                 "cancel_s = 35.0",
                 "cancel_s = 14.0",
-                "facts.workers: cancel_s leaves no room for lease_s and a take-over",
+                "facts.workers.cancel_s is 14.0, but must be above facts.workers.lease_s + 4, which is " +
+                    "14.0, to leave time for a failover",
+            ),
+            BadSetting("write_rps = 200.0", "write_rps = 0.0", "facts.state.write_rps is 0.0, but must be above 0"),
+            BadSetting("txn_ops = 40", "txn_ops = 3", "facts.state.txn_ops is 3, but must be at least 4"),
+            BadSetting("value_kb = 8.0", "value_kb = 0.5", "facts.state.value_kb is 0.5, but must be at least 1.0"),
+            BadSetting("rps = 10.0", "rps = 0.0", "facts.cloud.rps is 0.0, but must be above 0"),
+            BadSetting("lease_s = 10.0", "lease_s = -1.0", "facts.workers.lease_s is -1.0, but must be above 0"),
+            BadSetting(
+                "[facts.cloud]",
+                "[facts.state.next]\ntxn_ops = 3\n[facts.cloud]",
+                "facts.state.next.txn_ops is 3, but must be at least 4",
+            ),
+        )
+
+        private fun missingOrOfWrongType(): List<BadSetting> = listOf(
+            BadSetting("domain = \"a\"", "", "domain is missing, but is required"),
+            BadSetting("lease_s = 10.0", "", "facts.workers.lease_s is missing, but is required"),
+            BadSetting("[facts.workers]", "[facts.other]", "facts.workers is missing, but is required"),
+            BadSetting(
+                "txn_ops = 40",
+                "txn_ops = \"many\"",
+                "line 24: facts.state.txn_ops is \"many\", but must be a whole number up to 2147483647",
+            ),
+            BadSetting(
+                "nodes = 1",
+                "nodes = 1.5",
+                "line 12: facts.nodes is 1.5, but must be a whole number up to 2147483647",
+            ),
+            BadSetting(
+                "rps = 10.0",
+                "rps = 10",
+                "line 27: facts.cloud.rps is 10, but must be a number with a decimal point, for example 1.0",
             ),
             BadSetting(
-                "write_rps = 200.0",
-                "write_rps = 0.0",
-                "facts.state: rps and write_rps must be above 0, those of next too",
+                "bind = \"127.0.0.1:8080\"",
+                "bind = 3",
+                "line 4: bind is 3, but must be text in double quotes (in a list, each entry)",
             ),
-            BadSetting("txn_ops = 40", "txn_ops = 3", "facts.state: txn_ops is below 4, or that of next"),
-            BadSetting("value_kb = 8.0", "value_kb = 0.5", "facts.state: value_kb is below 1, or that of next"),
-            BadSetting("rps = 10.0", "rps = 0.0", "facts.cloud: rps must be above 0"),
             BadSetting(
-                "domain = \"a\"",
-                "",
-                "Invalid number of key-value arguments provided in the input for deserialization. Missing required " +
-                    "property <domain> from class <io.otterknot.config.Settings> in the input. (In your " +
-                    "deserialization class you have declared this field, but it is missing in the input)",
+                "zones = [\"a\"]",
+                "zones = \"a\"",
+                "line 13: facts.zones is \"a\", but must be a list in square brackets",
             ),
         )
 
@@ -1510,8 +1566,15 @@
         @JvmStatic
         fun badOperators(): List<Bad> = listOf(
             Bad("(load-spread :mode on)", "load-spread: :mode is on, not one of off, observe, act"),
-            Bad("(load-spread :colour 1)", "load-spread: unknown setting :colour"),
-            Bad("(load-shed :mode act)", "unknown section load-shed"),
+            Bad(
+                "(load-spread :colour 1)",
+                "load-spread: unknown setting :colour, not one of :mode, :hand-overs, :guarantees, :drains, " +
+                    ":any-priority, :plan-every-s, :margin-s, :hand-over-delay-s, :fetch-weight, " +
+                    ":lost-work-weight, :return-after-s, :task-cooldown-s, :patience-s, :least-remaining-s, " +
+                    ":hand-overs-per-plan, :partition-stop-share, :team-stop-share, :job-stop-share, " +
+                    ":lost-work-share, :examined-jobs, :sampled-machines",
+            ),
+            Bad("(load-shed :mode act)", "unknown section load-shed, not one of load-spread"),
             Bad("(load-spread :margin-s -1)", "load-spread: :margin-s is -1, not a number from 0.0 to 3600.0"),
             Bad("(load-spread :plan-every-s 0.1)", "load-spread: :plan-every-s is 0.1, not a number from 0.2 to 60.0"),
             Bad("(load-spread :fetch-weight 101)", "load-spread: :fetch-weight is 101, not a number from 0.0 to 100.0"),
@@ -1521,12 +1584,21 @@
                 "load-spread: :examined-jobs is 0, not a whole number from 1 to 100000",
             ),
             Bad("(load-spread :drains 1)", "load-spread: :drains is 1, not true or false"),
-            Bad("(load-spread :mode)", "load-spread: :mode has no value"),
-            Bad("(load-spread :mode off :mode act)", "load-spread: :mode stands twice"),
-            Bad("(load-spread mode act)", "load-spread: mode is not a setting, which begins with a colon"),
-            Bad("(load-spread) (load-spread)", "section load-spread stands twice"),
-            Bad("load-spread", "not a section in parentheses: load-spread"),
-            Bad("()", "a section without a name: []"),
+            Bad(
+                "(load-spread :mode)",
+                "load-spread: :mode has no value; a section is written like (load-spread :mode off)",
+            ),
+            Bad(
+                "(load-spread :mode off :mode act)",
+                "load-spread: :mode is set twice, to off and act, but is allowed once",
+            ),
+            Bad(
+                "(load-spread mode act)",
+                "load-spread: mode is not the name of a setting, which begins with a colon",
+            ),
+            Bad("(load-spread) (load-spread)", "section load-spread occurs 2 times, but is allowed once"),
+            Bad("load-spread", "load-spread is not a section; a section is written like (load-spread :mode off)"),
+            Bad("()", "section () has no name; a section is written like (load-spread :mode off)"),
         )
 
         private val MOVES_LOG = listOf(
