--- a/src/main/kotlin/io/otterknot/config/SettingMessages.kt
+++ b/src/main/kotlin/io/otterknot/config/SettingMessages.kt
@@ -22,23 +22,6 @@
     CloudSettings::class to "facts.cloud.",
 ).mapKeys { (section, _) -> section.qualifiedName }
 
-/** The TOML library's messages for a value of a wrong type: the line and the type that the setting has. */
-private val WRONG_TYPE = Regex(
-    "^Line (\\d+): (?:(?:Cannot decode the key|<|The integer literal).*class java\\.lang\\.(\\w+)|" +
-        "Expected (floating-point|type ARRAY))",
-)
-
-/** What a value must be, by the type in [WRONG_TYPE]. */
-private val ALLOWED_VALUES = mapOf(
-    "Integer" to "a whole number up to ${Int.MAX_VALUE}",
-    "Double" to "a number with a decimal point, for example 1.0",
-    "floating-point" to "a number with a decimal point, for example 1.0",
-    "String" to "text in double quotes (in a list, each entry)",
-    "type ARRAY" to "a list in square brackets",
-)
-
-private val SECTION_HEADER = Regex("^\\s*\\[\\[?([^\\[\\]\"',]+)]]?\\s*(?:#.*)?$")
-
 private val MISSING_SETTING =
     Regex("^Invalid number of key-value arguments .*? Missing required property <([^>]+)> from class <([^>]+)>")
 
@@ -58,12 +41,12 @@
 }
 
 /**
- * Returns one line for [e], which the TOML library threw for [text]. A missing setting and a value of a wrong type are
- * described without the names of Kotlin classes; all other errors have the library's text.
+ * Returns one line for [e], which the TOML library threw. A missing setting is named by its path, without the name of
+ * a Kotlin class; all other errors have the library's text.
  */
-internal fun tomlErrorMessage(e: Exception, text: String): String {
+internal fun tomlErrorMessage(e: Exception): String {
     val message = e.message.orEmpty().lines().joinToString(" ") { it.trim() }
-    return missingSetting(message) ?: wrongType(message, text) ?: message.take(MAX_QUOTED_CHARS)
+    return missingSetting(message) ?: message.take(MAX_QUOTED_CHARS)
 }
 
 private fun missingSetting(message: String): String? {
@@ -71,14 +54,3 @@
     val path = SECTION_PATHS[section] ?: return null
     return "$path$setting is missing, but is required"
 }
-
-private fun wrongType(message: String, text: String): String? {
-    val (number, type, otherType) = WRONG_TYPE.find(message)?.destructured ?: return null
-    val allowed = ALLOWED_VALUES[type + otherType] ?: return null
-    val lines = text.lines().take(number.toInt())
-    val assignment =
-        lines.lastOrNull()?.split('=', limit = 2)?.map { it.trim() }?.takeIf { it.size == 2 } ?: return null
-    val section = lines.asReversed().firstNotNullOfOrNull { SECTION_HEADER.find(it)?.groupValues?.get(1)?.trim() }
-    val path = listOfNotNull(section, assignment[0]).joinToString(".")
-    return "line $number: $path is ${assignment[1].take(MAX_QUOTED_CHARS)}, but must be $allowed"
-}
--- a/src/main/kotlin/io/otterknot/config/SettingsFile.kt
+++ b/src/main/kotlin/io/otterknot/config/SettingsFile.kt
@@ -43,9 +43,9 @@
         val settings = try {
             toml.decodeFromString(Settings.serializer(), text)
         } catch (e: SerializationException) {
-            throw InvalidSettingsException(tomlErrorMessage(e, text), e)
+            throw InvalidSettingsException(tomlErrorMessage(e), e)
         } catch (e: IllegalArgumentException) {
-            throw InvalidSettingsException(tomlErrorMessage(e, text), e)
+            throw InvalidSettingsException(tomlErrorMessage(e), e)
         }
         checkController(settings)
         checkSite(settings.facts)
@@ -53,62 +53,62 @@
     }
 
     private fun checkController(settings: Settings) {
-        requireValid(
-            settings.label.isNotBlank(),
-            "label",
-            quoted(settings.label),
-            "a name that is not blank",
-        )
+        requireValid(settings.label.isNotBlank(), "label", settings.label) { "a name that is not blank" }
         HostPort.parse("bind", settings.bind)
         HostPort.parse("peer_listen", settings.peerListen)
         HostPort.parse("endpoints.cloud", settings.endpoints.cloud)
         HostPort.parse("endpoints.state", settings.endpoints.state)
-        settings.members.forEach { HostPort.parse("members.endpoint of ${quoted(it.label)}", it.endpoint) }
-        requireValid(
-            settings.members.none { it.label == settings.label },
-            "members.label",
-            quoted(settings.label),
-            "the label of another controller, not of this one",
-        )
+        settings.members.forEach { HostPort.parse("members.endpoint of ${it.label}", it.endpoint) }
+        requireValid(settings.members.none { it.label == settings.label }, "members.label", settings.label) {
+            "the label of another controller, not of this one"
+        }
     }
 
     private fun checkSite(site: SiteSettings) {
-        requireValid(site.zones.isNotEmpty(), "facts.zones", site.zones, "a list of at least one zone")
-        requireValid(site.nodes >= 1, "facts.nodes", site.nodes, "at least 1")
+        requireValid(site.zones.isNotEmpty(), "facts.zones", site.zones) { "a list of at least one zone" }
+        requireValid(site.nodes >= 1, "facts.nodes", site.nodes) { "at least 1" }
         checkWorkers(site.workers)
         checkStore(site.state)
-        requireValid(site.cloud.rps > 0, "facts.cloud.rps", site.cloud.rps, "above 0")
+        requireValid(site.cloud.rps > 0, "facts.cloud.rps", site.cloud.rps) { "above 0" }
     }
 
     private fun checkWorkers(workers: WorkerSettings) {
-        requireValid(workers.heartbeatS > 0, "facts.workers.report_s", workers.heartbeatS, "above 0")
-        requireValid(workers.leaseS > 0, "facts.workers.lease_s", workers.leaseS, "above 0")
+        requireValid(workers.heartbeatS > 0, "facts.workers.report_s", workers.heartbeatS) { "above 0" }
+        requireValid(workers.leaseS > 0, "facts.workers.lease_s", workers.leaseS) { "above 0" }
         requireValid(
             workers.cancelS > workers.leaseS + MIN_FAILOVER_S,
             "facts.workers.cancel_s",
             workers.cancelS,
+        ) {
             "above facts.workers.lease_s + $MIN_FAILOVER_S, which is ${workers.leaseS + MIN_FAILOVER_S}, " +
-                "to leave time for a failover",
-        )
+                "to leave time for a failover"
+        }
     }
 
     private fun checkStore(store: StoreSettings) {
         val next = store.next
-        requireLimit("rps", store.rps, next.rps, "above 0") { it > 0 }
-        requireLimit("write_rps", store.writeRps, next.writeRps, "above 0") { it > 0 }
-        requireLimit("txn_ops", store.txnOps, next.txnOps, "at least $MIN_TRANSACTION_CHANGES") {
-            it >= MIN_TRANSACTION_CHANGES
+        requireValid(store.rps > 0, "facts.state.rps", store.rps) { "above 0" }
+        requireValid(next.rps == null || next.rps > 0, "facts.state.next.rps", next.rps) { "above 0" }
+        requireValid(store.writeRps > 0, "facts.state.write_rps", store.writeRps) { "above 0" }
+        requireValid(next.writeRps == null || next.writeRps > 0, "facts.state.next.write_rps", next.writeRps) {
+            "above 0"
+        }
+        requireValid(store.txnOps >= MIN_TRANSACTION_CHANGES, "facts.state.txn_ops", store.txnOps) {
+            "at least $MIN_TRANSACTION_CHANGES"
+        }
+        requireValid(
+            next.txnOps == null || next.txnOps >= MIN_TRANSACTION_CHANGES,
+            "facts.state.next.txn_ops",
+            next.txnOps,
+        ) { "at least $MIN_TRANSACTION_CHANGES" }
+        requireValid(store.valueKb >= 1, "facts.state.value_kb", store.valueKb) { "at least 1.0" }
+        requireValid(next.valueKb == null || next.valueKb >= 1, "facts.state.next.value_kb", next.valueKb) {
+            "at least 1.0"
         }
-        requireLimit("value_kb", store.valueKb, next.valueKb, "at least 1.0") { it >= 1 }
-    }
-
-    /** Checks a limit of the key-value store, both the [present] value and the one that will replace it, if any. */
-    private fun <T : Any> requireLimit(name: String, present: T, next: T?, allowed: String, isValid: (T) -> Boolean) {
-        requireValid(isValid(present), "facts.state.$name", present, allowed)
-        requireValid(next == null || isValid(next), "facts.state.next.$name", next, allowed)
     }
 
-    private fun requireValid(isValid: Boolean, setting: String, value: Any?, allowed: String) {
-        if (!isValid) throw InvalidSettingsException("$setting is $value, but must be $allowed")
+    /** Inline, so that the message of a valid setting is never built. */
+    private inline fun requireValid(isValid: Boolean, setting: String, value: Any?, allowed: () -> String) {
+        if (!isValid) throw InvalidSettingsException("$setting is ${quoted(value)}, but must be ${allowed()}")
     }
 }
--- a/src/main/kotlin/io/otterknot/config/SettingsSection.kt
+++ b/src/main/kotlin/io/otterknot/config/SettingsSection.kt
@@ -99,19 +99,18 @@
         }
 
         private fun addPair(section: String, pair: List<Any?>, values: MutableMap<String, Any?>) {
-            fun requireValid(isValid: Boolean, message: String) {
-                if (!isValid) throw InvalidSettingsException("$section: $message")
-            }
             val keyword = pair[0] as? Keyword
                 ?: throw InvalidSettingsException(
                     "$section: ${quoted(pair[0])} is not the name of a setting, which begins with a colon",
                 )
             val setting = keyword.name
-            requireValid(pair.size == 2, ":$setting has no value; $FORM")
-            requireValid(
-                setting !in values,
-                ":$setting is set twice, to ${quoted(values[setting])} and ${quoted(pair[1])}, but is allowed once",
-            )
+            if (pair.size != 2) throw InvalidSettingsException("$section: :$setting has no value; $FORM")
+            if (setting in values) {
+                throw InvalidSettingsException(
+                    "$section: :$setting is set twice, to ${quoted(values[setting])} and ${quoted(pair[1])}, " +
+                        "but is allowed once",
+                )
+            }
             values[setting] = pair[1]
         }
     }
