--- a/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
+++ b/src/main/kotlin/io/otterknot/jobs/JobTransitions.kt
@@ -32,7 +32,10 @@
         return acceptWithSegments(record, splitIntoSegments(dependencies, limits.maxValueBytes), limits)
     }
 
-    /** Returns the transaction that cancels the job for its user, or null if it has ended or was never accepted. */
+    /**
+     * Returns the transaction that cancels the job for its user, or null if the job has a terminal state already or was
+     * never accepted.
+     */
     fun cancel(job: Job, wallMs: Long, limits: WriteLimits): CompareAndSwap? =
         if (job.terminalState == null) end(job, TerminalState.CANCELLED, wallMs, limits) else null
 
--- a/src/main/kotlin/io/otterknot/leadership/AcquisitionPolicy.kt
+++ b/src/main/kotlin/io/otterknot/leadership/AcquisitionPolicy.kt
@@ -4,7 +4,7 @@
 internal enum class AcquisitionDecision {
     WAIT,
 
-    /** The partition has no leader, or its record was left by a process with this controller's label that has ended. */
+    /** The partition has no leader, or its record has this controller's label although no process acts under it. */
     ACQUIRE,
 
     /** Another controller leads the partition but does not answer its workers. */
@@ -33,7 +33,8 @@
      * Returns what this controller does now about the partition of [zone].
      *
      * @param leader the label in the partition's leader record, or null if the partition has no leader
-     * @param ledPartitionCount how many partitions this controller leads; each one delays the acquisition of another
+     * @param ledPartitionCount how many partitions this controller leads; each one delays the acquisition of another,
+     *   unless this controller is the first in the order for a partition without a leader
      */
     fun decide(zone: String, leader: String?, ledPartitionCount: Int, nowMs: Long): AcquisitionDecision {
         if (leader == null) {
--- a/src/main/kotlin/io/otterknot/leadership/TakeoverMarkers.kt
+++ b/src/main/kotlin/io/otterknot/leadership/TakeoverMarkers.kt
@@ -3,10 +3,10 @@
 /**
  * The markers of forced takeovers, and until when the leaders that were taken over may still act.
  *
- * Such a leader last extended its fence before the takeover, so the fence expires at most [leaseTtlMs] after it. A
- * marker remains if an acquisition was applied late or if the new leader ended right after it. Its time is then counted
- * from when this controller saw it (`docs/design.md`, "The partitions of an unresponsive leader are taken over at
- * once").
+ * Such a leader last extended its fence before the takeover, so the fence expires at most [leaseTtlMs] after the
+ * takeover. A marker remains if an acquisition was applied late or if the new leader ended right after it. Its time is
+ * then counted from when this controller saw it (`docs/design.md`, "The partitions of an unresponsive leader are taken
+ * over at once").
  */
 class TakeoverMarkers(private val leaseTtlMs: Long, private val nowMs: () -> Long) {
     private val markerSeenMs = HashMap<String, Long>()
--- a/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
+++ b/src/main/kotlin/io/otterknot/partition/ExitReconciler.kt
@@ -67,8 +67,8 @@
 
     /**
      * Whether [machine] is faulty: attempts on it fail several times in a row, and either several jobs fail on it or
-     * [job] has completed tasks. A job that fails on every machine is no evidence against a machine; its retries are
-     * delayed, so that it does not keep all machines busy.
+     * [job] has completed tasks, so that it does not fail everywhere. A job that fails on every machine is no evidence
+     * against a machine; its retries are delayed, so that it does not keep all machines busy.
      */
     private fun isFaulty(machine: Machine, job: PartitionJob): Boolean {
         if (machine.consecutiveFailures < MIN_FAILURES_OF_FAULTY_MACHINE) return false
--- a/src/main/kotlin/io/otterknot/partition/FailoverReconciliation.kt
+++ b/src/main/kotlin/io/otterknot/partition/FailoverReconciliation.kt
@@ -28,7 +28,7 @@
     /**
      * Whether leadership may be transferred: another leader would soon complete its own reconciliation. While an
      * earlier leader may still act, the new one would have to wait until that is over before the leases of unresponsive
-     * machines count as expired, so that a single dead machine would delay its unreconciled tasks.
+     * machines count as expired, so that a single dead machine would delay all unreconciled tasks.
      */
     fun mayTransferLeadership(now: Long): Boolean = isComplete && now > term.priorLeaderUntilMs
 
@@ -46,9 +46,9 @@
     /**
      * Handles a heartbeat that shows an earlier leader's fencing token: a response of that leader could still reach
      * [machine]. This leader's response may renew the lease for the attempts that the machine holds from the earlier
-     * leader, so the lease is counted from this heartbeat. A response to a heartbeat that arrived long after the
-     * acquisition cannot renew it, since the lease has expired by then and a worker drops late responses; the
-     * machine no longer counts as unreconciled then. Without this limit, a machine that no response reaches would
+     * leader, so the lease is counted from this heartbeat. A response to a heartbeat that arrived long after that
+     * leader could last act cannot renew it, since the lease has expired by then and a worker drops late responses;
+     * the machine no longer counts as unreconciled then. Without this limit, a machine that no response reaches would
      * prevent the reconciliation from completing.
      */
     fun priorTokenShown(machine: Machine, now: Long) {
--- a/src/main/kotlin/io/otterknot/partition/LeaseTimings.kt
+++ b/src/main/kotlin/io/otterknot/partition/LeaseTimings.kt
@@ -12,8 +12,8 @@
     val guaranteedExpiryMs: Long get() = leaseMs + leaseMs / MAX_DRIFT_DIVISOR + safetyMarginMs
 
     /**
-     * A response to a heartbeat that arrives later than this after an acquisition does not renew a lease from before
-     * the acquisition.
+     * A response to a heartbeat that arrives later than this after the earlier leader could last act
+     * ([LeadershipTerm.priorLeaderUntilMs]) does not renew a lease from that leader.
      */
     val noRenewalAfterMs: Long get() = guaranteedExpiryMs + maxResponseDelayMs
 
--- a/src/main/kotlin/io/otterknot/partition/MachineHealth.kt
+++ b/src/main/kotlin/io/otterknot/partition/MachineHealth.kt
@@ -24,7 +24,8 @@
 
     /**
      * The ids of machines that have not reported for [timeoutMs] while most others do, and that block tasks or the
-     * reconciliation. [acquiredMs] is when the partition was acquired, or null if reconciliation is complete.
+     * reconciliation. Machines whose lease expired while they held tasks of ended jobs are included however many others
+     * report. [acquiredMs] is when the partition was acquired, or null if reconciliation is complete.
      */
     fun unresponsive(now: Long, timeoutMs: Long, acquiredMs: Long?): List<String> =
         (unresponsiveWithEndedJobs + blockingMachines(now, timeoutMs, acquiredMs)).toList()
--- a/src/main/kotlin/io/otterknot/partition/Partition.kt
+++ b/src/main/kotlin/io/otterknot/partition/Partition.kt
@@ -13,11 +13,11 @@
 /**
  * The scheduling state of one partition on its leader: the machines of one zone and the tasks that belong to it. It
  * does no I/O and reads no clock: the caller passes in heartbeats and times, and sends the commands. All times are of
- * the leader's steady clock, in milliseconds, and all calls come from the controller's single thread.
+ * the leader's monotonic clock, in milliseconds, and all calls come from the controller's single thread.
  *
  * This is a facade; the state is in [PartitionJobs] (which tasks may start), [PartitionMachines] (which machines
  * report), [AttemptLedger] (which attempts are booked on which machines) and [TeamQuotaLedger] (what the teams use). No
- * task is started twice because [HeartbeatProcessor] sends commands only in responses and [FailoverReconciliation]
+ * task runs twice at a time because [HeartbeatProcessor] sends commands only in responses and [FailoverReconciliation]
  * keeps unreconciled tasks from being started.
  *
  * @param machineTypes finds a machine type by its name, or returns null if it is unknown.
--- a/src/main/kotlin/io/otterknot/partition/PartitionLoad.kt
+++ b/src/main/kotlin/io/otterknot/partition/PartitionLoad.kt
@@ -22,7 +22,8 @@
     val ordinaryCores: Double get() = machines.all.sumOf { if (!it.spot && it.inService) it.type.cores else 0.0 }
 
     /**
-     * Cores of the active and pending tasks of jobs that satisfy [predicate], up to the quota shares of their teams.
+     * Cores of the active, pending and unreconciled tasks of jobs that satisfy [predicate], up to the quota shares of
+     * their teams.
      */
     fun demand(predicate: (JobSpec) -> Boolean): Double {
         val coresByTeam = HashMap<Int, Double>()
@@ -34,7 +35,10 @@
         return teams.sumWithinQuotaShares { coresByTeam[it] ?: 0.0 }
     }
 
-    /** Cores in use or requested by pending tasks, divided by the total cores: pending tasks count as queued work. */
+    /**
+     * Cores in use or requested by pending and unreconciled tasks, divided by the total cores. Tasks that wait count
+     * too, like tasks in the queues of workers.
+     */
     fun mean(): Double {
         val usedCores = machines.all.sumOf { if (it.leaseExpired) 0.0 else it.usedCores }
         return (usedCores + jobs.all.sumOf { it.pendingCores }) / maxOf(totalCores, 1.0)
--- a/src/main/kotlin/io/otterknot/partition/SchedulingInputs.kt
+++ b/src/main/kotlin/io/otterknot/partition/SchedulingInputs.kt
@@ -6,10 +6,10 @@
 /**
  * What placement in a partition depends on in addition to the partition's own state.
  *
- * @property wallTimeOf converts a time of the steady clock to the time of day, both in milliseconds.
+ * @property wallTimeOf converts a time of the monotonic clock to wall-clock time, both in milliseconds.
  */
 class SchedulingInputs(
     val objectives: ServiceLevelObjectives,
     val random: Random,
-    val wallTimeOf: (steadyMs: Long) -> Long,
+    val wallTimeOf: (monotonicMs: Long) -> Long,
 )
--- a/src/main/kotlin/io/otterknot/partition/WaitingWork.kt
+++ b/src/main/kotlin/io/otterknot/partition/WaitingWork.kt
@@ -14,7 +14,7 @@
     internal val jobs = TreeSet(compareBy<PartitionJob> { it.readyMs }.thenBy { it.id })
 
     /**
-     * When the job that has been ready longest became so, by the time of day in milliseconds, or null if none is
+     * When the job that has been ready longest became so, in milliseconds of wall-clock time, or null if none is
      * pending.
      */
     val oldestReadyMs: Long? get() = jobs.firstOrNull()?.readyMs
--- a/src/main/kotlin/io/otterknot/scheduling/Attempt.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Attempt.kt
@@ -21,8 +21,8 @@
         private set
 
     /**
-     * Whether a stop is requested. The stop command is sent with the next response and repeated until the attempt has
-     * exited.
+     * Whether a stop is requested. The halt command is sent with the next response and repeated until the attempt has
+     * exited, except while it saves a checkpoint.
      */
     var stopping = false
         private set
@@ -38,7 +38,7 @@
     var seenRunning = false
         private set
 
-    /** Whether the attempt, placed ahead of more urgent work to start an overdue job, is exempt from preemption. */
+    /** Whether the attempt may not be preempted, because it was placed ahead of more urgent work for an overdue job. */
     var protectedFromPreemption = false
         private set
 
--- a/src/main/kotlin/io/otterknot/scheduling/AttemptPhase.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/AttemptPhase.kt
@@ -10,7 +10,7 @@
     FETCHING,
     RUNNING,
 
-    /** Writing its checkpoint after a stop command. */
+    /** Writing its checkpoint after a halt command. */
     SAVING,
 
     /** Exited, lost or undone: the attempt no longer occupies resources. */
--- a/src/main/kotlin/io/otterknot/scheduling/JobCandidates.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/JobCandidates.kt
@@ -6,8 +6,8 @@
 /**
  * The machines on which the tasks of one job may be placed now, as groups in order of preference: a task is placed in
  * the first group that has capacity for it. Machines that have the job's image precede others, since a task occupies
- * its cores while its image is fetched. [prefersSpot] is set if some job may not run on spot instances; then they
- * precede ordinary machines for a job that may use both.
+ * its cores while its image is fetched. [prefersSpot] is set if some job of the partition may not run on spot
+ * instances; then spot instances precede ordinary machines for a job that may use both.
  */
 class JobCandidates(machines: List<Machine>, spec: JobSpec, prefersSpot: Boolean, fits: (Machine) -> Boolean) {
     private val groups = ArrayList<PlacementCandidates<Machine>>()
--- a/src/main/kotlin/io/otterknot/scheduling/Machine.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/Machine.kt
@@ -22,7 +22,7 @@
 ) : PlacementTarget() {
     // State reported by heartbeats.
 
-    /** The agent epoch of the last accepted heartbeat. */
+    /** The worker epoch of the last accepted heartbeat. */
     var epoch = 0L
         private set
     var lastSequence = -1L
@@ -63,14 +63,14 @@
     // Availability for placement.
 
     /**
-     * Whether the machine is permanently excluded as faulty, slow, being returned or being revoked. It gets no further
-     * tasks and is returned once it is empty.
+     * Whether the machine is permanently excluded as faulty, slow, being released or being revoked. It gets no further
+     * tasks and is released once it is empty.
      */
     var quarantined = false
         private set
 
     /**
-     * Whether the machine is being drained for scale-in. It gets no further tasks and is returned once it is empty,
+     * Whether the machine is being drained for scale-in. It gets no further tasks and is released once it is empty,
      * unless demand rises before that.
      */
     var draining = false
@@ -117,7 +117,7 @@
     /** The resources reserved on this machine for pending tasks, by priority. */
     private val reservedFor = Array(Priority.entries.size) { MutableResources() }
 
-    /** The jobs of which a task failed or ran too long on this machine, with the time until which it avoids them. */
+    /** The jobs of which a task failed or ran too long on this machine, with the time until which it is avoided. */
     private val avoidedUntilMs = HashMap<String, Long>()
 
     /** The number of consecutive failed attempts on this machine. */
@@ -134,7 +134,7 @@
         leaseExpired = false
     }
 
-    /** Records that the agent has killed all of its attempts and started a new epoch. */
+    /** Records that the worker has killed all of its attempts and started a new epoch. */
     fun epochStarted(epoch: Long) {
         this.epoch = epoch
     }
@@ -144,7 +144,7 @@
         leaseStartMs = now
     }
 
-    /** Records that no response renewed the lease in time, so that the agent has killed all of its attempts. */
+    /** Records that no response renewed the lease in time, so that the worker has killed all of its attempts. */
     fun expireLease() {
         leaseExpired = true
         markNotIdle()
@@ -186,7 +186,7 @@
         draining = true
     }
 
-    /** Cancels the drain because demand rose before the machine was empty, or is being re-evaluated. */
+    /** Cancels the drain because demand rose before the machine was empty, or because demand is re-evaluated. */
     fun cancelDrain() {
         draining = false
     }
@@ -232,7 +232,7 @@
         avoidedUntilMs.isNotEmpty() && (avoidedUntilMs[jobId] ?: Long.MIN_VALUE) > now
 
     /**
-     * Marks the image of [spec] as the most recently used. The agent has evicted the least recently used images that
+     * Marks the image of [spec] as the most recently used. The worker has evicted the least recently used images that
      * exceed the capacity of its image cache, so they are removed here too.
      */
     fun useImage(spec: JobSpec) {
--- a/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/PartitionJob.kt
@@ -9,8 +9,9 @@
  * The tasks of one job that belong to this partition. Each task of [owned] is either completed or in one of
  * [pending], [unreconciledTasks], [beingReassigned], [unrecordedCompletions] and [active].
  *
- * Other packages may read the sets; only the partition's job list and attempt ledger modify them. [team] is the index
- * of the job's team, or -1 if the settings do not contain it.
+ * Other packages may read the sets; only the partition's `PartitionJobs` and `AttemptLedger` modify them, and its
+ * `StragglerDetector` modifies [restarted]. [team] is the index of the job's team, or -1 if the settings do not name
+ * the team.
  */
 class PartitionJob(val job: Job, submitted: JobSpec, val team: Int) {
     val id: String get() = job.id
@@ -22,8 +23,8 @@
     val submittedMs: Long = job.record?.submittedMs ?: 0
 
     /**
-     * The wall-clock time from which the job could run. Objectives on waiting time are measured from the end of its
-     * last dependency.
+     * The wall-clock time from which the job could run: its submission or the end of its last dependency, whichever is
+     * later. Objectives on waiting time are measured from it.
      */
     val readyMs: Long = job.readyMs
 
@@ -59,6 +60,8 @@
     val restarted = BitSet()
 
     val pendingCount: Int get() = pending.cardinality()
+
+    /** The cores requested by the pending and the unreconciled tasks. */
     val pendingCores: Double get() = (pendingCount + unreconciledTasks.cardinality()) * spec.cores
 
     /** Whether the job is in a terminal state. Its attempts that still occupy machines here are being stopped. */
--- a/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/SchedulingQueue.kt
@@ -73,8 +73,8 @@
     val isEmpty: Boolean get() = minPendingCores == Double.MAX_VALUE
 
     /**
-     * Whether [job] may use capacity that is reserved for more urgent jobs. That is so if it is within its team's
-     * guaranteed quota, takes precedence because of that, and some more urgent pending job is beyond its team's quota.
+     * Whether [job] may use capacity that is reserved for more urgent jobs. That is so if [guaranteedBeforeAll] is set,
+     * the job is within its team's guaranteed quota, and some more urgent pending job is not within its team's.
      */
     fun ignoresReservations(job: PartitionJob): Boolean = guaranteedBeforeAll && job.isWithinGuarantee &&
         mostUrgentBeyondGuarantee?.let { it < job.spec.priority } ?: false
--- a/src/main/kotlin/io/otterknot/scheduling/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/io/otterknot/scheduling/ServiceLevelObjectives.kt
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Returns the share of such jobs that has to start before a new machine has booted ([bootS] seconds), so that
-     * capacity has to be available in advance; 0 if all of them may wait for a boot.
+     * Returns the share of the tasks of jobs like [spec] that has to start before a new machine has booted ([bootS]
+     * seconds), so that capacity has to be available in advance; 0 if all of them may wait for a boot.
      */
     fun readyShare(spec: JobSpec, bootS: Double): Double =
         startObjectives(spec).filter { it.withinS < bootS }.maxOfOrNull { it.share } ?: 0.0
--- a/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
+++ b/src/test/kotlin/io/otterknot/jobs/DependencyGraphTest.kt
@@ -83,7 +83,7 @@
     private fun terminalState(number: Int) = table[id(number)]!!.terminalState
 
     @Test
-    fun `a job is ready once all its dependencies are done, in whatever order they end`() {
+    fun `a job is ready once all its dependencies are done, before or after its submission`() {
         submit(1)
         submit(2)
         submit(3, 1, 2)
--- a/src/test/kotlin/io/otterknot/partition/FailoverReconciliationTest.kt
+++ b/src/test/kotlin/io/otterknot/partition/FailoverReconciliationTest.kt
@@ -100,11 +100,11 @@
     }
 
     /**
-     * An overridden leader may not have noticed that it was overridden, and may still renew leases. Tasks of machines
-     * that never reported therefore wait until it can no longer act, and then for the expiry of the lease.
+     * A leader that was taken over by force may not have noticed it, and may still renew leases. Tasks of machines that
+     * never reported therefore wait until that leader can no longer act, and then for the expiry of the lease.
      */
     @Test
-    fun `leases of unreported machines do not count as expired while an overridden leader may still act`() {
+    fun `leases of unreported machines do not count as expired while an earlier leader may still act`() {
         for ((priorLeaderUntilMs, expectedMs) in listOf(0L to 10_800L, 22_000L to 32_800L)) {
             val partition = partition(listOf("m1", "gone"), priorLeaderUntilMs = priorLeaderUntilMs)
             partition.updateJob(job(1, 1), inherited = true)
