--- a/src/main/kotlin/io/otterknot/api/JobStoreAccess.kt
+++ b/src/main/kotlin/io/otterknot/api/JobStoreAccess.kt
@@ -23,7 +23,10 @@
     internal suspend fun awaitRevisionAfterWrite(revision: Long): Boolean =
         replica.awaitRevision(revision, AFTER_WRITE_MS)
 
-    /** Waits until the rate limit on changes admits [transaction]; false if it does not in time. */
+    /**
+     * Waits until the rate limiter admits [transaction]; returns false immediately if that would take longer than
+     * [RATE_LIMIT_WAIT_MS].
+     */
     internal suspend fun awaitRateLimit(transaction: CompareAndSwap): Boolean =
         client.rateLimiter.tryAcquire(transaction.size, RATE_LIMIT_WAIT_MS)
 
--- a/src/main/kotlin/io/otterknot/api/JobSubmitter.kt
+++ b/src/main/kotlin/io/otterknot/api/JobSubmitter.kt
@@ -132,7 +132,7 @@
 
     /**
      * Returns the status of a job that was just stored, which the replica may not show yet. A job that depends on a
-     * cancelled job is accepted and cancelled at the same time.
+     * cancelled job is accepted, but counts as cancelled from the beginning.
      */
     private fun statusAfterCreation(spec: JobSpec): JobStatus {
         jobs[spec.id]?.let { return statusReader.statusOf(it) }
--- a/src/main/kotlin/io/otterknot/cli/MovesCommand.kt
+++ b/src/main/kotlin/io/otterknot/cli/MovesCommand.kt
@@ -10,7 +10,7 @@
 import java.nio.file.Path
 import kotlin.io.path.useLines
 
-/** `otterknot moves`: reports from controllers' logs which work load spread moved, which it did not move, and why. */
+/** `otterknot moves`: reports from controllers' logs what load spread moved, what it did not move, and why. */
 internal object MovesCommand {
     const val NAME = "moves"
     private const val LOG_OPTION = "--log"
@@ -21,7 +21,7 @@
     fun spec(): CommandSpec {
         val spec = CommandSpec.create().name(NAME)
         spec.usageMessage().description(
-            "Reports from controllers' logs which work load spread moved, which it did not move, and why.",
+            "Reports from controllers' logs what load spread moved, what it did not move, and why.",
         )
         spec.mixinStandardHelpOptions(true)
         return spec.addOption(logOption()).addOption(teamOption()).addOption(jsonOption())
--- a/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/io/otterknot/heartbeat/HeartbeatEndpoint.kt
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Gives up the leadership of [zone]: the worker has seen a higher fencing token than this controller's. */
+    /** Marks the leadership of [zone] as lost: the worker has seen a higher fencing token than this controller's. */
     private fun leadershipLost(zone: String): HttpResponse {
         leadership.leadershipLost(zone)
         return unavailable("$label has lost $zone")
--- a/src/main/kotlin/io/otterknot/http/HttpClient.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpClient.kt
@@ -7,7 +7,10 @@
 import kotlinx.coroutines.TimeoutCancellationException
 import kotlinx.coroutines.withTimeout
 
-/** An HTTP/1.1 client for [address] that keeps up to [maxIdle] connections, each carrying one request at a time. */
+/**
+ * An HTTP/1.1 client for [address]. Each connection carries one request at a time; up to [maxIdle] idle connections are
+ * kept for later requests.
+ */
 class HttpClient(private val loop: EventLoop, private val address: HostPort, private val maxIdle: Int = 3) : Transport {
     private val idle = ArrayDeque<TcpConnection>()
 
--- a/src/main/kotlin/io/otterknot/http/HttpHead.kt
+++ b/src/main/kotlin/io/otterknot/http/HttpHead.kt
@@ -38,7 +38,8 @@
          * Receives the next head on [connection]; returns null if the peer closes the connection before the head is
          * complete.
          *
-         * @throws MalformedHttpException if the head is longer than [MAX_HEAD_BYTES] or a header line has no name
+         * @throws MalformedHttpException if the head is longer than [MAX_HEAD_BYTES], or a header line has no name
+         *   or no colon
          */
         suspend fun receive(connection: TcpConnection): HttpHead? {
             val input = connection.input
--- a/src/main/kotlin/io/otterknot/peer/IdlePartitionAnnouncer.kt
+++ b/src/main/kotlin/io/otterknot/peer/IdlePartitionAnnouncer.kt
@@ -86,7 +86,10 @@
         return idlePartitionCounts.minByOrNull { it.second }?.first
     }
 
-    /** Sends [message]; returns how many idle partitions [controller] has after it, or null without a response. */
+    /**
+     * Sends [message]. Returns how many idle partitions are then announced to [controller], or null if it does not
+     * respond.
+     */
     private suspend fun send(controller: String, message: PeerMessage): Int? {
         val response = if (controller == label) {
             receivedAnnouncements.respondTo(message, nowMs())
--- a/src/main/kotlin/io/otterknot/ratelimit/RateLimiter.kt
+++ b/src/main/kotlin/io/otterknot/ratelimit/RateLimiter.kt
@@ -81,8 +81,8 @@
 
     /**
      * Waits until the tokens of a request with [changeCount] changes are available in addition to a reserve for users,
-     * or the bucket is full, then takes them. A [lowPriority] task leaves a larger reserve. Background tasks take
-     * tokens one after the other; low-priority tasks have a queue of their own.
+     * or the bucket of changes is full, then takes them. A [lowPriority] task leaves a larger reserve. Background tasks
+     * take tokens one after the other; low-priority tasks have a queue of their own.
      */
     suspend fun acquireSpare(changeCount: Int, lowPriority: Boolean = false) {
         val mutex = if (lowPriority) lowPriorityMutex else backgroundMutex
--- a/src/main/kotlin/io/otterknot/records/CompletionSegmentRecord.kt
+++ b/src/main/kotlin/io/otterknot/records/CompletionSegmentRecord.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Completed tasks of many jobs: chunks encoded by [TaskBitmaps.encode], by [TaskBitmaps.chunkName]. */
+/** Completed tasks of many jobs, as the chunks of [TaskBitmaps.encode] keyed by [TaskBitmaps.chunkName]. */
 @Serializable
 data class CompletionSegmentRecord(
     @SerialName("d") val bitmaps: Map<String, String> = emptyMap(),
--- a/src/main/kotlin/io/otterknot/records/PartitionLoadRecord.kt
+++ b/src/main/kotlin/io/otterknot/records/PartitionLoadRecord.kt
@@ -43,6 +43,6 @@
     @SerialName("m") val memoryGb: Double = 0.0,
     @SerialName("g") val gpus: Double = 0.0,
     @SerialName("w") val waitingCores: Double = 0.0,
-    /** Wall-clock time since when the team's oldest waiting task could run, or null if no task waits. */
+    /** Wall-clock time, in milliseconds, since when the team's oldest waiting task could run; null if no task waits. */
     @SerialName("o") val oldestReadyMs: Long? = null,
 )
--- a/src/main/kotlin/io/otterknot/store/BatchWriter.kt
+++ b/src/main/kotlin/io/otterknot/store/BatchWriter.kt
@@ -97,7 +97,7 @@
     private class DeferredWrite(val write: PendingWrite, val untilMs: Long)
 
     private companion object {
-        /** Time within which the replica must reach the revision of a transaction. */
+        /** How long a write waits for the replica to reach the revision of its transaction. */
         const val REPLICA_TIMEOUT_MS = 2_000L
         const val RETRY_DELAY_MS = 300L
         const val RETRY_JITTER_MS = 500L
--- a/src/main/kotlin/io/otterknot/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/io/otterknot/store/KeyValueStoreClient.kt
@@ -48,12 +48,12 @@
         return readRevision()
     }
 
-    /** Applies [change] if all its conditions hold. The caller must have acquired a permit from [rateLimiter]. */
+    /** Applies [change] if all its conditions hold. The caller must have taken its tokens from [rateLimiter]. */
     suspend fun transact(change: CompareAndSwap): TransactionOutcome = send(change.conditions, change.changes)
 
     /**
-     * Checks whether all [conditions] hold at some moment after the call. The caller must have acquired a permit from
-     * [rateLimiter].
+     * Checks whether all [conditions] hold at some moment after the call. The caller must have taken the tokens of the
+     * request from [rateLimiter].
      */
     suspend fun checkConditions(conditions: List<VersionCondition>): TransactionOutcome = send(conditions, emptyList())
 
@@ -156,7 +156,7 @@
         /** Target of a key that is never written: reading it is cheap for the store and returns its revision. */
         internal const val ABSENT_KEY_TARGET = "/store/o/none"
         private val EMPTY_BODY = ByteArray(0)
-        private const val UNREADABLE = "unreadable answer"
+        private const val UNREADABLE = "response body cannot be decoded"
         private const val PAGE_SIZE = 200
         private const val LIST_TIMEOUT_MS = 10_000L
         private const val READ_TIMEOUT_MS = 1_500L
--- a/src/main/kotlin/io/otterknot/store/ReplicaWatcher.kt
+++ b/src/main/kotlin/io/otterknot/store/ReplicaWatcher.kt
@@ -37,7 +37,7 @@
                 }
 
                 WatchResult.Compacted -> {
-                    log.warn("revision={} replica watch compacted; reloading all keys", contents.revision.value)
+                    log.warn("revision={} watch revision compacted; reloading all keys", contents.revision.value)
                     loadOrDelay()
                 }
 
--- a/src/main/kotlin/io/otterknot/store/StoreConnection.kt
+++ b/src/main/kotlin/io/otterknot/store/StoreConnection.kt
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Sends a GET on the direct connection. Returns null if the store becomes unreachable before the reply arrives: a
-     * watch would otherwise stay open without events on a partitioned connection, until its timeout.
+     * Sends a GET on the direct connection. Returns null if the store becomes unreachable before the reply arrives. A
+     * watch would otherwise stay open without events until its timeout while the store is unreachable.
      */
     private suspend fun getDirectly(target: String, timeoutMs: Long): Reply? = coroutineScope {
         val answer = async { direct.call("GET", target, null, timeoutMs).also(health::recordReply) }
--- a/src/main/kotlin/io/otterknot/store/TransactionOutcome.kt
+++ b/src/main/kotlin/io/otterknot/store/TransactionOutcome.kt
@@ -14,7 +14,7 @@
     data class Refused(val status: Int) : TransactionOutcome {
         /**
          * Whether a value or the whole transaction is larger than the store accepts at present. Valid only for a
-         * transaction without a lease.
+         * transaction without a lease, because the store also answers status 400 if the lease does not exist any more.
          */
         val isTooLarge: Boolean get() = status == HttpStatus.BAD_REQUEST
     }
--- a/src/main/kotlin/io/otterknot/store/WriteLimits.kt
+++ b/src/main/kotlin/io/otterknot/store/WriteLimits.kt
@@ -31,7 +31,7 @@
     /** Whether each value of [change] fits. */
     fun fits(change: CompareAndSwap): Boolean = change.changes.all(::fits)
 
-    /** Lowers the limits if [outcome] says that [change] was refused as too large; returns whether that is so. */
+    /** Lowers the limits if [outcome] shows that [change] was refused as too large; returns whether that is so. */
     fun reduceIfTooLarge(change: CompareAndSwap, outcome: TransactionOutcome): Boolean {
         if (outcome !is TransactionOutcome.Refused || !outcome.isTooLarge) return false
         reduceAfterRefusal(change.changes)
--- a/src/main/kotlin/io/otterknot/wire/JobSpec.kt
+++ b/src/main/kotlin/io/otterknot/wire/JobSpec.kt
@@ -34,7 +34,7 @@
     @SerialName("Crew") val team: String,
     @SerialName("Rank") val priority: Priority,
     @SerialName("Chores") val tasks: Int,
-    /** CPU cores of one task; the other amounts are also per task. */
+    /** CPU cores of one task; [gpus] and [memoryGb] are also per task. */
     @SerialName("Cores") val cores: Double,
     @SerialName("Cards") val gpus: Double = 0.0,
     @SerialName("MemoryGb") val memoryGb: Double,
--- a/src/main/kotlin/io/otterknot/wire/JobSubmission.kt
+++ b/src/main/kotlin/io/otterknot/wire/JobSubmission.kt
@@ -7,7 +7,10 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
 
-/** The maximum size of a request body; a longer body is refused without being read. */
+/**
+ * The maximum size of a request body. A longer body is refused: without being read if `Content-Length` announces it, or
+ * else as soon as more bytes have arrived.
+ */
 const val MAX_BODY_BYTES = 64 * 1024
 
 /**
--- a/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/GoldenFormatTest.kt
@@ -275,9 +275,7 @@
 
     private fun cloudClient(status: Int, text: String) = CloudClient(
         recordingTransport(status, text),
-        RateLimiter(1_000.0, 1.0, {
-            0
-        }),
+        RateLimiter(1_000.0, 1.0, { 0 }),
     )
 
     @Test
@@ -622,16 +620,16 @@
         scope.launch { leadership.keepStoreLease() }
         scope.launch { leadership.acquirePartitions() }
         delay(10_000)
-        val report = PROTOCOL_HEARTBEAT.replace("\"Warrant\":41", "\"Warrant\":0")
-        val firstResponse = router.send("POST /v1/report", report)
+        val heartbeat = PROTOCOL_HEARTBEAT.replace("\"Warrant\":41", "\"Warrant\":0")
+        val firstResponse = router.send("POST /v1/report", heartbeat)
         addPartition("a", 2)
         val answers = listOf(
             firstResponse,
-            router.send("POST /v1/report", report.replace("\"Ripple\":88", "\"Ripple\":89")),
-            router.send("POST /v1/report", report),
-            router.send("POST /v1/report", report.replace("\"Reach\":\"a\"", "\"Reach\":\"b\"")),
-            router.send("POST /v1/report", report.replace("\"Reach\":\"a\"", "\"Reach\":\"z\"")),
-            router.send("POST /v1/report", report.replace("\"Dive\":1", "\"Dive\":0")),
+            router.send("POST /v1/report", heartbeat.replace("\"Ripple\":88", "\"Ripple\":89")),
+            router.send("POST /v1/report", heartbeat),
+            router.send("POST /v1/report", heartbeat.replace("\"Reach\":\"a\"", "\"Reach\":\"b\"")),
+            router.send("POST /v1/report", heartbeat.replace("\"Reach\":\"a\"", "\"Reach\":\"z\"")),
+            router.send("POST /v1/report", heartbeat.replace("\"Dive\":1", "\"Dive\":0")),
             router.send("POST /v1/report", PROTOCOL_HEARTBEAT),
         )
         val expected = listOf(
--- a/src/test/kotlin/io/otterknot/records/RecordSegmentsTest.kt
+++ b/src/test/kotlin/io/otterknot/records/RecordSegmentsTest.kt
@@ -33,7 +33,7 @@
         assertEquals(listOf(1, 2, 0), split.keys.toList())
         assertEquals(setOf("m1", "m3", "m4"), split.getValue(0).keys)
         assertEquals((1..8).filter { it != 2 }.map { "m$it" }.toSet(), split.values.flatMap { it.keys }.toSet())
-        // If only the first of them was written, the next call drops the names that it has received from the large one.
+        // If only segment 1 was written, the next call removes from segment 0 the names that segment 1 has received.
         val resumed = RecordSegments.redistribute(large + mapOf(1 to split.getValue(1)), setOf("m2"), emptyMap(), 3)
         assertEquals(split.getValue(0), resumed.getValue(0))
         assertEquals(
--- a/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
+++ b/src/test/kotlin/io/otterknot/records/StoredFormatTest.kt
@@ -99,7 +99,7 @@
         )
     }
 
-    /** In chunks of the usual size, each of the last chunks of a large job would exceed a value of 2 KiB. */
+    /** With chunks of the usual size, a single chunk of a large job could exceed a value of 2 KiB. */
     @Test
     fun `completions of a large job are kept in small chunks, next to those that the production version reads`() {
         val tasks = BitSet().also {
