--- a/src/main/kotlin/io/otterknot/autoscaling/ScaleOut.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ScaleOut.kt
@@ -10,8 +10,7 @@
 
 /**
  * Requests machines from the cloud. A request without a response is retried under the same name until it is answered,
- * since the cloud may have carried it out. A kind of which the cloud has no capacity left is not
- * requested for a while.
+ * since the cloud may have carried it out. A kind of which the cloud has no capacity left is not requested for a while.
  */
 class ScaleOut(
     private val cloud: CloudClient,
--- a/src/main/kotlin/io/otterknot/autoscaling/ScalingPolicy.kt
+++ b/src/main/kotlin/io/otterknot/autoscaling/ScalingPolicy.kt
@@ -60,7 +60,7 @@
         /** Supply beyond demand, as a share of demand. */
         const val HEADROOM = 0.15
 
-        /** Minimum time for which a machine is used after it has booted and fetched an image. */
+        /** Assumed minimum time for which a machine is used after it has booted and fetched an image. */
         const val MIN_USE_S = 60.0
         const val TYPICAL_IMAGE_GB = 2.0
     }
--- a/src/main/kotlin/io/otterknot/controller/Controller.kt
+++ b/src/main/kotlin/io/otterknot/controller/Controller.kt
@@ -46,14 +46,15 @@
  * thread, so no state needs a lock; a condition that must hold across a suspension point is checked again after it.
  *
  * State that several modules share has one writer for each part: the watch updates the replica,
- * [ReplicaChangeDispatcher] the job table and the loads in the partition views, [IdlePartitions] the idle machines in
- * these views, and [PartitionActivator] the map of partitions in service.
+ * [ReplicaChangeDispatcher] the job table and the published loads in the partition views, [IdlePartitions] the idle
+ * machines in these views, and [PartitionActivator] the map of partitions in service. The exception: components that
+ * assign or reassign tasks raise the load in the view of the target until its leader publishes the next one.
  */
 class Controller(
     settings: Settings,
     transports: ControllerTransports,
     random: Random,
-    /** A steady (monotonic) clock, in milliseconds since an arbitrary moment. */
+    /** The monotonic clock, in milliseconds since an arbitrary moment. */
     nowMs: () -> Long,
     /** The wall clock, in milliseconds since 1970. */
     wallMs: () -> Long,
@@ -208,7 +209,7 @@
     /** Answers a request of another controller. */
     suspend fun handlePeerRequest(request: PeerMessage): PeerMessage = peerRequests.handle(request)
 
-    /** Counts the moves of load spread that have ended in the partitions led now, by kind and terminal state. */
+    /** Returns the number of load-spread moves that have ended in the partitions led now, by kind and final state. */
     fun moveEnds(): Map<Pair<MoveKind, MoveState>, Int> = loadSpread.endedMoveCounts()
 
     /** Forwards leadership changes to [activator], which can only be constructed after [leadership]. */
--- a/src/main/kotlin/io/otterknot/controller/MachineSegmentWrites.kt
+++ b/src/main/kotlin/io/otterknot/controller/MachineSegmentWrites.kt
@@ -10,7 +10,7 @@
 import io.otterknot.store.WriteLimits
 import kotlinx.serialization.json.JsonElement
 
-/** Registers machines before their first task, and removes those that the cloud has released. Owns no state. */
+/** Registers machines before their first task, and removes those that no longer exist. Owns no state. */
 class MachineSegmentWrites(private val replica: StoreReplica, private val limits: WriteLimits) : PartitionWriteSource {
     override fun writes(partition: Partition): List<PendingWrite> {
         val added = partition.fleet.unregistered().associate { it.id to it.type.name }
--- a/src/main/kotlin/io/otterknot/controller/PartitionActivator.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionActivator.kt
@@ -24,12 +24,12 @@
     private val log = LoggerFactory.getLogger(PartitionActivator::class.java)
     private val queue = ArrayList<LeadershipAcquisition>()
 
-    /** Queues a partition whose leadership has been acquired for activation. */
+    /** Queues a newly acquired partition for activation. */
     fun enqueue(acquired: LeadershipAcquisition) {
         queue += acquired
     }
 
-    /** Takes a partition whose leadership is lost out of service. */
+    /** Removes the partition of [zone], whose leadership has been lost, from [partitions]. */
     fun deactivate(zone: String) {
         partitions.remove(zone)
     }
--- a/src/main/kotlin/io/otterknot/controller/PartitionFactory.kt
+++ b/src/main/kotlin/io/otterknot/controller/PartitionFactory.kt
@@ -26,7 +26,8 @@
 ) {
     /**
      * Creates the partition of the leadership [acquired]. An earlier leader may still act until [priorLeaderUntilMs],
-     * by the steady clock. [registeredMachines] gives the types of the machines that may hold tasks, by machine name.
+     * by the monotonic clock. [registeredMachines] contains the types of the machines that may hold tasks, by machine
+     * name.
      */
     fun create(
         acquired: LeadershipAcquisition,
@@ -35,13 +36,13 @@
     ): Partition = Partition(
         term = LeadershipTerm(acquired.zone, acquired.fencingToken, acquiredMs = nowMs(), priorLeaderUntilMs),
         leases = LeaseTimings(settings.workers.leaseMs),
-        scheduling = SchedulingInputs(objectives, random, wallTimeOf = { steadyMs -> steadyMs + wallClockOffsetMs() }),
+        scheduling = SchedulingInputs(objectives, random, wallTimeOf = { timeMs -> timeMs + wallClockOffsetMs() }),
         machineTypes = catalog::type,
         teamQuotas = settings.teams.map { teamQuota(it, acquired.zone) },
         registeredMachines = registeredMachines,
     )
 
-    /** Returns how far the wall clock is ahead of the steady clock; read on each call, as the wall clock may be set. */
+    /** Returns the lead of the wall clock over the monotonic clock; not cached, since the wall clock may be set. */
     private fun wallClockOffsetMs(): Long = wallMs() - nowMs()
 
     private fun teamQuota(team: TeamSettings, zone: String) = TeamQuota(
--- a/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
+++ b/src/main/kotlin/io/otterknot/reassignment/TaskReassigner.kt
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Reassigns pending tasks of [partition], in the order of its pending jobs, skipping jobs for which no reassignment
-     * is due. Makes at most [MAX_REASSIGNMENTS] reassignments.
+     * Reassigns pending tasks of [partition], the most urgent jobs first, skipping jobs for which no reassignment is
+     * worthwhile. Makes at most [MAX_REASSIGNMENTS] reassignments.
      */
     private suspend fun reassignFrom(partition: Partition) {
         if (!leadership.mayActFor(partition) || !partition.reconciled) return
@@ -86,7 +86,7 @@
         val mayMoveAfterLongWait = LongWaitPolicy.mayMove((wallMs() - job.readyMs) / MS_PER_S, targetMean)
         val minGap = if (mayMoveAfterLongWait) LongWaitPolicy.MIN_MEAN_GAP else MIN_GAP
         if (gap < minGap) return null
-        // Half of the gap, in cores of the smaller partition, equalizes the means without a later reassignment back.
+        // Half of the gap, in cores of the smaller partition, equalizes the means; more would cause reassignments back.
         val targetCores = if (spec.spot) target.cores else target.ordinaryCores
         val balancingCores = gap / 2 * minOf(maxOf(load.coresFor(spec), 1.0), maxOf(targetCores, 1.0))
         if (!spec.sameZone) return maxOf(balancingCores, spec.cores)
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpread.kt
@@ -30,12 +30,15 @@
     private val rebalancers = HashMap<String, PartitionRebalancer>()
 
     /** Zones whose partition has a leader; determined once for all plans of a round. */
-    private var ledZones = emptyList<String>()
+    private var zonesWithLeader = emptyList<String>()
     private var activeSettings = LoadSpreadSettings()
     private var overloadedUntilMs = Long.MIN_VALUE
     private var coverageUpdatedMs = Long.MIN_VALUE / 2
 
-    /** Whether load spread decides the reassignments of the partition of [zone]: mode is `ACT` and it is not paused. */
+    /**
+     * Whether load spread decides the reassignments of the partition of [zone]: its mode is `ACT`, the settings let it
+     * reassign tasks, and planning is not paused there.
+     */
     fun decidesReassignments(zone: String): Boolean =
         activeSettings.mode == LoadSpreadMode.ACT && activeSettings.reassignsTasks &&
             rebalancers[zone]?.isPlanning == true
@@ -57,16 +60,16 @@
     suspend fun run() = coroutineScope {
         while (true) {
             val before = nowMs()
-            val pauseMs = if (activeSettings.isOn) pauseMs() else SETTINGS_POLL_MS
-            delay(pauseMs)
-            val delayedMs = nowMs() - before - pauseMs
+            val roundIntervalMs = if (activeSettings.isOn) roundIntervalMs() else SETTINGS_POLL_MS
+            delay(roundIntervalMs)
+            val delayedMs = nowMs() - before - roundIntervalMs
             if (delayedMs > OVERLOAD_DELAY_MS) overloadedUntilMs = nowMs() + OVERLOAD_PAUSE_MS
             applySettings()
             if (activeSettings.isOn) runRound(this)
         }
     }
 
-    private fun pauseMs(): Long = (activeSettings.planEveryS * 1000).toLong() + random.nextLong(PLAN_JITTER_MS)
+    private fun roundIntervalMs(): Long = (activeSettings.planEveryS * 1000).toLong() + random.nextLong(PLAN_JITTER_MS)
 
     private fun applySettings() {
         val newSettings = settings()
@@ -86,7 +89,7 @@
         if (rebalancers.isEmpty()) return
         markWithinGuarantee(now)
         val cluster = pressureTracker.clusterPressure()
-        ledZones = host.views.keys.filter(host::hasLeader)
+        zonesWithLeader = host.views.keys.filter(host::hasLeader)
         for (rebalancer in rebalancers.values) {
             val pausedBy = pauseReason(rebalancer.partition, now)
             val reassignments = rebalancer.runRound(cluster, pausedBy, now, wallMs())
@@ -110,7 +113,7 @@
 
     private fun isLed(partition: Partition): Boolean = host.partitions[partition.zone] === partition
 
-    private fun targets(spec: JobSpec): List<String> = ledZones.filter { host.offers(it, spec) }
+    private fun targets(spec: JobSpec): List<String> = zonesWithLeader.filter { host.offers(it, spec) }
 
     private fun markWithinGuarantee(now: Long) {
         val isUsed = activeSettings.mode == LoadSpreadMode.ACT && activeSettings.guarantees && !quotaCoverage.isEmpty
--- a/src/main/kotlin/io/otterknot/rebalance/LoadSpreadHost.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LoadSpreadHost.kt
@@ -18,7 +18,7 @@
     /** Whether this controller may act as the leader of [partition] now. */
     fun mayActFor(partition: Partition): Boolean
 
-    /** Whether the state service responds to this controller. */
+    /** Whether the key-value store responds to this controller. */
     val isStoreAvailable: Boolean
 
     /** Whether the partition of [zone] has a leader. */
--- a/src/main/kotlin/io/otterknot/rebalance/LostWorkBudget.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/LostWorkBudget.kt
@@ -9,7 +9,7 @@
     var availableCoreS = 0.0
         private set
 
-    /** Refills up to [nowMs] (steady clock) for a partition of [cores] cores, of which [share] may be lost. */
+    /** Refills up to [nowMs] (monotonic clock) for a partition of [cores] cores, of which [share] may be lost. */
     fun refill(nowMs: Long, cores: Double, share: Double) {
         val perS = cores * share
         availableCoreS =
--- a/src/main/kotlin/io/otterknot/rebalance/MoveEvent.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveEvent.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A load-spread event in a controller's log; `otterknot moves` parses its JSON, so the format must not change. */
+/** A load-spread event in a controller's log. Its JSON is a stable format, which `otterknot moves` parses. */
 @Serializable
 sealed interface MoveEvent {
     /** A move has ended. */
--- a/src/main/kotlin/io/otterknot/rebalance/MoveHistory.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/MoveHistory.kt
@@ -31,7 +31,7 @@
     /**
      * Detects reassignments to this partition since the last call: a job among [waiting] that owns more tasks here than
      * before, or that is first observed long after its submission. The first call only records the current state,
-     * since it cannot distinguish jobs that were already here.
+     * since it is not known which partitions these jobs were in before.
      */
     fun recordArrivals(waiting: List<PartitionJob>, nowMs: Long, wallMs: Long) {
         for (job in waiting) {
--- a/src/main/kotlin/io/otterknot/rebalance/PartitionRebalancer.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PartitionRebalancer.kt
@@ -37,7 +37,8 @@
 
     /**
      * Runs one round: updates the open moves, plans, and starts the planned stops. Returns the reassignments to
-     * execute; none if [pausedBy] is not null or load spread only observes. [now]: steady clock; [wallMs]: wall clock.
+     * execute; none if [pausedBy] is not null or load spread only observes. [now] is the time of the monotonic clock,
+     * [wallMs] that of the wall clock.
      */
     fun runRound(
         cluster: ClusterPressure,
--- a/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/PressureTracker.kt
@@ -100,7 +100,10 @@
     }
 
     private companion object {
-        /** An image on this share of machines is published: one of two sampled machines then has it in 51% of cases. */
+        /**
+         * An image on this share of the machines, rounded down, is published: of two sampled machines, at least one
+         * then has it in 51% of cases.
+         */
         const val COMMON_IMAGE_MACHINE_SHARE = 0.3
         const val MAX_PUBLISHED_IMAGES = 12
     }
--- a/src/main/kotlin/io/otterknot/rebalance/ReassignmentPlanner.kt
+++ b/src/main/kotlin/io/otterknot/rebalance/ReassignmentPlanner.kt
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Returns why [job] cannot be reassigned to any partition, or null if it can. */
+    /** Returns why [job] may not be reassigned to any partition now, or null if it may. */
     private fun refusalReason(job: WaitingJob): RefusalReason? {
         val sinceArrivalS = job.secondsSinceArrival
         return when {
--- a/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
+++ b/src/test/kotlin/io/otterknot/rebalance/LoadSpreadPlannerTest.kt
@@ -48,7 +48,7 @@
 
     @Test
     fun `a job is within the guarantee if it fits together with all more urgent or earlier jobs of its team`() {
-        val cover = QuotaCoverage(listOf(TeamSettings("red", cpus = 10.0), TeamSettings("blue")))
+        val coverage = QuotaCoverage(listOf(TeamSettings("red", cpus = 10.0), TeamSettings("blue")))
         fun job(
             id: String,
             team: String,
@@ -63,15 +63,15 @@
             job("second", "red", 20, 4.0),
             job("none", "blue", 5, 1.0),
         )
-        assertEquals(setOf("first", "second"), cover.withinGuarantee(jobs))
-        assertEquals(setOf("first"), cover.withinGuarantee(jobs + job("early", "red", 15, 8.0)))
+        assertEquals(setOf("first", "second"), coverage.withinGuarantee(jobs))
+        assertEquals(setOf("first"), coverage.withinGuarantee(jobs + job("early", "red", 15, 8.0)))
         val urgent = job("urgent", "red", 40, 5.0, priority = Priority.HIGH)
         assertEquals(
             setOf("urgent"),
-            cover.withinGuarantee(jobs + urgent),
+            coverage.withinGuarantee(jobs + urgent),
             "the most urgent job uses the guarantee first",
         )
-        assertEquals(emptySet<String>(), cover.withinGuarantee(listOf(job("card", "red", 1, 1.0, gpus = 1.0))))
+        assertEquals(emptySet<String>(), coverage.withinGuarantee(listOf(job("card", "red", 1, 1.0, gpus = 1.0))))
     }
 
     @ParameterizedTest
@@ -244,7 +244,7 @@
             )
         }
 
-        private val CROWDED_MACHINES =
+        private val FULL_MACHINES =
             listOf(machine(1, redTasks(1)), machine(2, redTasks(2).map { it.copy(elapsedS = 2.0) }))
 
         private val REASSIGNMENT_PLANS = listOf(
@@ -331,7 +331,7 @@
         private val GUARANTEE_PLANS = listOf(
             PlanCase(
                 "guarantee, stops the task that loses the least work",
-                snapshot(listOf(jobWithinGuarantee(1)), CROWDED_MACHINES, there = 1.8),
+                snapshot(listOf(jobWithinGuarantee(1)), FULL_MACHINES, there = 1.8),
                 listOf("j-000002/8 on m-2: GUARANTEE"),
                 null,
             ),
@@ -339,7 +339,7 @@
                 "guarantee, stop in progress",
                 snapshot(
                     listOf(jobWithinGuarantee(1)),
-                    CROWDED_MACHINES,
+                    FULL_MACHINES,
                     there = 1.8,
                     open = OpenMoves(stopsForJob = mapOf("j-000009" to 1)),
                 ),
@@ -348,7 +348,7 @@
             ),
             PlanCase(
                 "guarantee, wait too short",
-                snapshot(listOf(jobWithinGuarantee(1, waitedS = 1.0)), CROWDED_MACHINES, there = 1.8),
+                snapshot(listOf(jobWithinGuarantee(1, waitedS = 1.0)), FULL_MACHINES, there = 1.8),
                 emptyList(),
                 RefusalReason.WAIT_TOO_SHORT,
             ),
@@ -356,7 +356,7 @@
                 "guarantee, completions free capacity soon",
                 snapshot(
                     listOf(jobWithinGuarantee(1)),
-                    CROWDED_MACHINES + machine(3, listOf(redTask(20, remainingS = 2.0))),
+                    FULL_MACHINES + machine(3, listOf(redTask(20, remainingS = 2.0))),
                     there = 1.8,
                 ),
                 emptyList(),
@@ -364,7 +364,7 @@
             ),
             PlanCase(
                 "guarantee, no team above its guarantee",
-                snapshot(listOf(jobWithinGuarantee(1)), CROWDED_MACHINES, there = 1.8, redCores = 100.0),
+                snapshot(listOf(jobWithinGuarantee(1)), FULL_MACHINES, there = 1.8, redCores = 100.0),
                 emptyList(),
                 RefusalReason.NO_STOPPABLE_TASKS,
             ),
