--- a/src/test/kotlin/io/otterknot/cluster/AnswerMonotonicityTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/AnswerMonotonicityTest.kt
@@ -12,18 +12,19 @@
 import kotlin.random.Random
 
 /**
- * A search by seed for answers that are older than earlier ones: many short jobs, a quarter of them cancelled, some at the
- * moment of their end, users who ask at all nodes within milliseconds, and several faults at a time, drawn by the seed.
+ * Guards against answers that report an older job state than an earlier answer did. For each seed many short jobs run,
+ * a quarter of them are cancelled, some just as they complete, users send bursts of requests to all nodes within
+ * milliseconds, and two to five faults drawn from the seed overlap.
  *
- * A fixed list of seeds is played in each build; `-Dotterknot.search=FIRST..LAST` plays others.
+ * Each build runs a fixed list of seeds; `-Dotterknot.search=FIRST..LAST` runs others.
  */
 class AnswerMonotonicityTest {
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no answer is older than one that was given before`(case: ClusterScenario) = case.play()
+    fun `no answer reports an older state than an earlier answer`(case: ClusterScenario) = case.run()
 
     companion object {
-        /** Seeds 8, 21 and 36 broke the rule on the sources before final states were guarded rightly. */
+        /** Seeds 8, 21 and 36 failed before the writes of terminal states were guarded correctly. */
         private val FIXED_SEEDS = (1L..10L) + listOf(21L, 36L)
         private const val JOBS = 90
         private const val LATEST_FAULT_MS = 9_000L
@@ -40,45 +41,45 @@
             val random = Random(seed * 7_919)
             val faults = RandomFault.all.shuffled(random).take(2 + random.nextInt(4))
             val changesPerS = listOf(12.0, 25.0, 60.0, 300.0).random(random)
-            val name = "seed $seed: ${faults.joinToString { it.name }}, $changesPerS changes a second"
+            val name = "seed $seed: ${faults.joinToString { it.name }}, $changesPerS changes/s"
             return ClusterScenario(
                 name,
                 seeds = 1,
                 firstSeed = seed,
                 capacity = 6,
-                mixture = false,
+                defaultWorkload = false,
                 changesPerS = changesPerS,
             ) {
-                closeLooks = true
-                cancelSomeAtTheirEnd(random)
+                requestBursts = true
+                cancelSomeOnCompletion(random)
                 coroutineScope {
                     launch { submitJobs(random) }
-                    for (fault in faults) launch { play(fault, random) }
+                    for (fault in faults) launch { inject(fault, random) }
                 }
-                closeLooks = false
-                onLastEnd = {}
+                requestBursts = false
+                onJobCompleted = {}
             }
         }
 
         /**
-         * Four jobs a second; a quarter of them are cancelled some time after they were accepted, if not before. Some
-         * await others, which may be cancelled as well.
+         * Submits about four jobs per second. A quarter of them are cancelled within 5 s of their acceptance. Every
+         * seventh job depends on up to two earlier jobs, which may be cancelled too.
          */
         private suspend fun SimulatedCluster.submitJobs(random: Random) {
             val submitted = ArrayList<JobSpec>()
             for (id in 1..JOBS) {
                 val tasks = if (random.nextInt(10) == 0) 3 else 1
-                val awaited = if (id % 7 == 0) submitted.takeLast(6).shuffled(random).take(2).map { it.id } else null
-                val spec = spec(1_000 + id, tasks, 0.4 + random.nextDouble(3.0)).copy(dependencies = awaited)
+                val dependsOn = if (id % 7 == 0) submitted.takeLast(6).shuffled(random).take(2).map { it.id } else null
+                val spec = spec(1_000 + id, tasks, 0.4 + random.nextDouble(3.0)).copy(dependencies = dependsOn)
                 submitted.add(spec)
-                user(spec, if (id % 4 == 0) random.nextLong(5_000) else null)
-                // What awaits others may only be submitted once those are accepted.
-                if (awaited == null && random.nextInt(8) == 0) submitEverywhere(spec, random)
+                startUser(spec, if (id % 4 == 0) random.nextLong(5_000) else null)
+                // A job with dependencies may only be submitted once these are accepted.
+                if (dependsOn == null && random.nextInt(8) == 0) submitEverywhere(spec, random)
                 delay(random.nextLong(500))
             }
         }
 
-        /** The same submission comes to other nodes within milliseconds. */
+        /** Repeats a submission twice at random nodes within milliseconds. */
         private fun SimulatedCluster.submitEverywhere(spec: JobSpec, random: Random) = scope.launch {
             repeat(2) {
                 delay(random.nextLong(40))
@@ -86,8 +87,8 @@
             }
         }
 
-        private fun SimulatedCluster.cancelSomeAtTheirEnd(random: Random) {
-            onLastEnd = { spec ->
+        private fun SimulatedCluster.cancelSomeOnCompletion(random: Random) {
+            onJobCompleted = { spec ->
                 if (random.nextInt(3) == 0) {
                     scope.launch {
                         delay(random.nextLong(1_500))
@@ -97,9 +98,9 @@
             }
         }
 
-        private suspend fun SimulatedCluster.play(fault: RandomFault, random: Random) {
+        private suspend fun SimulatedCluster.inject(fault: RandomFault, random: Random) {
             delay(random.nextLong(LATEST_FAULT_MS))
-            fault.play(this, random)
+            fault.inject(this, random)
         }
     }
 }
--- a/src/test/kotlin/io/otterknot/cluster/ClusterTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/ClusterTest.kt
@@ -7,18 +7,18 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-/** The whole service under one kind of trouble each, with every rule watched. */
+/** The whole service under one kind of fault per case, with all safety checks. */
 class ClusterTest {
     @ParameterizedTest
     @MethodSource("cases")
-    fun `no rule breaks and every job ends`(case: ClusterScenario) = case.play()
+    fun `no safety rule is violated and every job ends`(case: ClusterScenario) = case.run()
 
     companion object {
         @JvmStatic
         fun cases() = listOf(
-            ClusterScenario("quiet") { },
+            ClusterScenario("no fault") { },
             ClusterScenario("a team at its limit", teamLimit = 12.0) { },
-            ClusterScenario("a team whose limit is below one task for each partition", teamLimit = 5.0) { },
+            ClusterScenario("a team whose limit is too low for one task in each partition", teamLimit = 5.0) { },
             ClusterScenario("a team at its limit while controllers restart", teamLimit = 8.0) {
                 for (node in nodes) {
                     crash(node)
@@ -27,12 +27,12 @@
                     delay(4_000)
                 }
             },
-            ClusterScenario("one controller crashes and comes back") {
+            ClusterScenario("one controller crashes and restarts after 6 s") {
                 crash("holt-a")
                 delay(6_000)
                 startNode("holt-a")
             },
-            ClusterScenario("one controller crashes and comes back at once, again and again") {
+            ClusterScenario("one controller crashes repeatedly and restarts after 200 ms") {
                 repeat(4) {
                     crash("holt-b")
                     delay(200)
@@ -45,22 +45,22 @@
                 delay(5_000)
                 nodes.forEach(::startNode)
             },
-            ClusterScenario("all controllers restart while the cloud is away") {
-                // Without remembered machine types nothing is placed until the cloud is back.
-                cloudAway = true
+            ClusterScenario("all controllers restart while the cloud is unavailable") {
+                // Without stored machine types nothing could be placed until the cloud is available again.
+                cloudUnavailable = true
                 nodes.forEach(::crash)
                 nodes.forEach(::startNode)
                 val before = starts
                 delay(15_000)
-                if (starts == before) broken.add("nothing_ran while the cloud was away")
-                cloudAway = false
+                if (starts == before) violations.add("nothing_ran: no task was started while the cloud was unavailable")
+                cloudUnavailable = false
             },
-            ClusterScenario("one controller stays away") {
+            ClusterScenario("one controller is down for a minute") {
                 crash("holt-c")
                 delay(60_000)
                 startNode("holt-c")
             },
-            ClusterScenario("controllers are restarted one after the other") {
+            ClusterScenario("rolling restart of all controllers") {
                 for (node in nodes) {
                     crash(node)
                     delay(4_000)
@@ -68,12 +68,14 @@
                     delay(8_000)
                 }
             },
-            ClusterScenario("the state service is down") {
+            ClusterScenario("the state service is unavailable for 20 s") {
                 state.outage(true)
                 delay(20_000)
                 state.outage(false)
             },
-            ClusterScenario("the state service is down for longer than any lease, and all restart meanwhile") {
+            ClusterScenario(
+                "the state service is unavailable for longer than any lease while all controllers restart",
+            ) {
                 state.outage(true)
                 delay(20_000)
                 nodes.forEach(::crash)
@@ -82,65 +84,63 @@
                 delay(10_000)
                 state.outage(false)
             },
-            ClusterScenario("one controller alone is refused by the state service") {
-                state.refusedFor = "holt-a"
+            ClusterScenario("the state service refuses one controller") {
+                state.refusedNode = "holt-a"
                 delay(60_000)
-                state.refusedFor = null
+                state.refusedNode = null
             },
-            ClusterScenario("answers to transactions are lost and some are applied late") {
-                state.lossy = 0.3
+            ClusterScenario("answers to transactions are lost and some transactions are applied late") {
+                state.lostTransactionShare = 0.3
                 delay(40_000)
-                state.lossy = 0.0
+                state.lostTransactionShare = 0.0
             },
             ClusterScenario("late transactions while controllers restart") {
-                state.lossy = 0.2
+                state.lostTransactionShare = 0.2
                 repeat(3) {
                     crash(nodes[it])
                     delay(2_000)
                     startNode(nodes[it])
                     delay(6_000)
                 }
-                state.lossy = 0.0
+                state.lostTransactionShare = 0.0
             },
             ClusterScenario("cancellations race completions") {
-                // Without the guard on the job's version a cancellation would overwrite a job just told to be done.
-                state.lossy = 0.1
+                // Without the condition on the job's version a cancellation would overwrite a job reported as done.
+                state.lostTransactionShare = 0.1
                 for (id in 101..160) {
-                    user(spec(id, 1 + id % 2, 1.0), 1_000L + random.nextLong(4_000))
+                    startUser(spec(id, 1 + id % 2, 1.0), 1_000L + random.nextLong(4_000))
                     delay(100)
                 }
                 delay(10_000)
-                state.lossy = 0.0
+                state.lostTransactionShare = 0.0
             },
-            ClusterScenario("machines hang and go on within their lease, and after it") {
+            ClusterScenario("machines hang and resume before or after their lease expires") {
                 machines().forEachIndexed { index, worker ->
-                    worker.hungUntilMs =
-                        machines().first().bornMs + 12_000 + 5_000L * (index % 5)
+                    worker.hungUntilMs = machines().first().bootedMs + 12_000 + 5_000L * (index % 5)
                 }
                 delay(20_000)
             },
             ClusterScenario("machines hang while their controller restarts") {
-                machines().filter { it.zone == "a" }.forEach { it.hungUntilMs = it.bornMs + 30_000 }
+                machines().filter { it.zone == "a" }.forEach { it.hungUntilMs = it.bootedMs + 30_000 }
                 crash("holt-a")
                 delay(1_000)
                 startNode("holt-a")
                 delay(10_000)
             },
-            ClusterScenario("troubles in any combination") {
+            ClusterScenario("random combinations of faults") {
                 repeat(12) {
                     val node = nodes.random(random)
                     when (random.nextInt(7)) {
                         0 -> scope.launch {
-                            state.refusedFor = node
+                            state.refusedNode = node
                             delay(8_000 + random.nextLong(25_000))
-                            state.refusedFor =
-                                null
+                            state.refusedNode = null
                         }
 
                         1 -> scope.launch {
-                            cutNodes.add(node)
+                            nodesCutFromWorkers.add(node)
                             delay(2_000 + random.nextLong(25_000))
-                            cutNodes.remove(node)
+                            nodesCutFromWorkers.remove(node)
                         }
 
                         2 -> scope.launch {
@@ -152,15 +152,15 @@
                         3 -> machines().shuffled(random).take(2).forEach { it.hang(3_000 + random.nextLong(25_000)) }
 
                         4 -> scope.launch {
-                            state.lossy = 0.3
+                            state.lostTransactionShare = 0.3
                             delay(8_000)
-                            state.lossy = 0.0
+                            state.lostTransactionShare = 0.0
                         }
 
                         5 -> scope.launch {
-                            lostAnswers = 0.5
+                            lostReportAnswerShare = 0.5
                             delay(6_000)
-                            lostAnswers = 0.0
+                            lostReportAnswerShare = 0.0
                         }
 
                         6 -> scope.launch {
@@ -173,35 +173,35 @@
                 }
                 delay(30_000)
             },
-            ClusterScenario("reports of some machines arrive, answers to them do not") {
-                // Such a machine looks idle and would draw task after task; it must be given back.
-                val deaf = machines().take(2).onEach { it.unreached = true }
+            ClusterScenario("answers to some machines are lost while their reports arrive") {
+                // Such a machine appears idle and would be assigned one task after another; it must be released.
+                val unreachable = machines().take(2).onEach { it.inboundBlocked = true }
                 delay(45_000)
-                if (deaf.any { it in machines() }) broken.add("a machine that no answer reaches is still kept")
+                if (unreachable.any { it in machines() }) violations.add("unreachable machines were not released")
             },
-            ClusterScenario("answers to a machine are lost from before a take-over on") {
-                machines().filter { it.zone == "a" }.forEach { it.unreached = true }
-                cloudAway = true
+            ClusterScenario("answers to machines are lost from before a failover on") {
+                machines().filter { it.zone == "a" }.forEach { it.inboundBlocked = true }
+                cloudUnavailable = true
                 crash("holt-a")
                 delay(300)
                 startNode("holt-a")
                 delay(30_000)
-                for (id in 201..206) user(spec(id, 4, 2.0))
+                for (id in 201..206) startUser(spec(id, 4, 2.0))
                 delay(20_000)
-                cloudAway = false
+                cloudUnavailable = false
             },
-            ClusterScenario("copies of reports come seconds to well over a lease late") {
-                copies = 0.3
+            ClusterScenario("duplicate reports arrive from 1 s to 2.5 leases late") {
+                duplicateReportShare = 0.3
                 delay(20_000)
                 crash("holt-b")
                 delay(400)
                 startNode("holt-b")
                 machines().take(2).forEach { it.hang(15_000) }
                 delay(40_000)
-                copies = 0.0
+                duplicateReportShare = 0.0
             },
-            ClusterScenario("copies of reports while machines are returned and controllers take over") {
-                copies = 0.5
+            ClusterScenario("duplicate reports arrive while machines hang and leadership fails over") {
+                duplicateReportShare = 0.5
                 for (node in nodes) {
                     crash(node)
                     delay(5_000)
@@ -209,36 +209,34 @@
                     startNode(node)
                     delay(8_000)
                 }
-                copies = 0.0
+                duplicateReportShare = 0.0
             },
-            ClusterScenario("a controller loses state service and other controllers, not its workers") {
-                state.refusedFor = "holt-a"
-                peerless.add("holt-a")
+            ClusterScenario("a controller loses the state service and its peers but not its workers") {
+                state.refusedNode = "holt-a"
+                nodesWithoutPeers.add("holt-a")
                 delay(60_000)
-                if (removals("holt-a") == 0) broken.add("an isolated node stays in the balancer's choice")
-                state.refusedFor = null
-                peerless.clear()
+                if (removals("holt-a") == 0) violations.add("the load balancer did not remove the isolated node holt-a")
+                state.refusedNode = null
+                nodesWithoutPeers.clear()
             },
-            ClusterScenario("a controller alone is refused by the state service, and the others serve it") {
-                state.refusedFor = "holt-b"
+            ClusterScenario("a controller that the state service refuses reaches it through a peer") {
+                state.refusedNode = "holt-b"
                 val before = starts
-                for (id in 201..212) user(spec(id, 3, 2.0))
+                for (id in 201..212) startUser(spec(id, 3, 2.0))
                 delay(30_000)
-                if (starts == before ||
-                    nodes.any { removals(it) > 0 }
-                ) {
-                    broken.add("the way round by another controller does not serve")
+                if (starts == before || nodes.any { removals(it) > 0 }) {
+                    violations.add("holt-b did not stay in service through its peers")
                 }
-                state.refusedFor = null
+                state.refusedNode = null
             },
-            ClusterScenario("in an outage no node leaves the balancer's choice") {
+            ClusterScenario("the load balancer keeps all nodes in an outage of the state service") {
                 state.outage(true)
                 delay(18_000)
-                if (nodes.any { removals(it) > 0 }) broken.add("nodes flap in an outage")
+                if (nodes.any { removals(it) > 0 }) violations.add("removed from load balancing in an outage")
                 state.outage(false)
             },
-            ClusterScenario("restarts within a fraction of a second in the middle of claims, transactions late") {
-                state.lossy = 0.25
+            ClusterScenario("restarts within 500 ms during leadership acquisition, with late transactions") {
+                state.lostTransactionShare = 0.25
                 repeat(8) {
                     val node = nodes.random(random)
                     crash(node)
@@ -254,61 +252,57 @@
                 delay(300)
                 nodes.forEach(::startNode)
                 delay(20_000)
-                state.lossy = 0.0
+                state.lostTransactionShare = 0.0
             },
-            ClusterScenario("the largest jobs begin while small ones keep coming") {
-                user(spec(301, 60, 5.0))
-                user(spec(303, 120, 4.0, "bulk", Priority.BEST_EFFORT, cores = 1.0))
-                // More than the machines can do, so that shortest work first would never come to the largest.
+            ClusterScenario("the largest jobs start under a continuous load of small jobs") {
+                startUser(spec(301, 60, 5.0))
+                startUser(spec(303, 120, 4.0, "bulk", Priority.BEST_EFFORT, cores = 1.0))
+                // The load exceeds the capacity, so shortest-job-first scheduling would starve the largest jobs.
                 for (round in 0 until 100) {
-                    user(spec(400 + round * 2, 3 + round % 3, 6.0, cores = 4.0))
-                    user(spec(401 + round * 2, 5, 8.0))
+                    startUser(spec(400 + round * 2, 3 + round % 3, 6.0, cores = 4.0))
+                    startUser(spec(401 + round * 2, 5, 8.0))
                     delay(2_700)
                 }
             },
-            ClusterScenario("machines fail every task") {
-                machines().take(2).forEach { it.faulty = true }
+            ClusterScenario("two machines fail every task") {
+                machines().take(2).forEach { it.failsTasks = true }
                 delay(20_000)
             },
-            ClusterScenario("a crashed controller's partitions are taken over before its machines' leases end") {
+            ClusterScenario("partitions of crashed controllers fail over before their machines' leases expire") {
                 delay(15_000)
                 crash("holt-a")
                 crash("holt-b")
                 delay(9_000)
-                if (owners().values.toSet() !=
-                    setOf("holt-c")
-                ) {
-                    broken.add("crashed controllers still own partitions: ${owners()}")
+                if (partitionLeaders().values.toSet() != setOf("holt-c")) {
+                    violations.add("crashed controllers still lead partitions: ${partitionLeaders()}")
                 }
                 startNode("holt-a")
                 delay(30_000)
-                if ("holt-a" !in
-                    owners().values
-                ) {
-                    broken.add("a controller that came back got no partition: ${owners()}")
+                if ("holt-a" !in partitionLeaders().values) {
+                    violations.add("the restarted controller holt-a leads no partition: ${partitionLeaders()}")
                 }
                 startNode("holt-b")
             },
-            ClusterScenario("a claim from a live owner, the claimant ends at once") {
-                // The first owner may act until its fence ends, whoever claims after the claimant.
-                cutNodes.add("holt-a")
-                while (owners()["a"] == "holt-a") delay(50)
-                val claimant = owners().getValue("a")
-                crash(claimant)
+            ClusterScenario("a controller crashes right after it acquired a partition from a live leader") {
+                // The first leader may act until its fence ends, whichever controllers acquire the partition next.
+                nodesCutFromWorkers.add("holt-a")
+                while (partitionLeaders()["a"] == "holt-a") delay(50)
+                val successor = partitionLeaders().getValue("a")
+                crash(successor)
                 delay(150)
-                startNode(claimant)
+                startNode(successor)
                 delay(3_000)
-                crash(claimant)
+                crash(successor)
                 delay(30_000)
-                cutNodes.clear()
-                startNode(claimant)
+                nodesCutFromWorkers.clear()
+                startNode(successor)
             },
-            ClusterScenario("owners that lose their workers for a while, again and again") {
+            ClusterScenario("leaders repeatedly lose the connection to their workers") {
                 repeat(6) {
                     val node = nodes.random(random)
-                    cutNodes.add(node)
+                    nodesCutFromWorkers.add(node)
                     delay(3_000 + random.nextLong(8_000))
-                    cutNodes.remove(node)
+                    nodesCutFromWorkers.remove(node)
                     if (random.nextBoolean()) {
                         crash(node)
                         delay(300)
@@ -317,35 +311,31 @@
                     delay(random.nextLong(4_000))
                 }
             },
-            ClusterScenario("a zone that was cut off comes back to the owner that it has got meanwhile") {
-                // Its machines come to any node and have been with none since: that says nothing against the new owner.
+            ClusterScenario("an isolated zone reconnects and keeps the leader that acquired it meanwhile") {
+                // Its machines had no contact and now report to any node; this must not count against the new leader.
                 repeat(40) { boot("a", spot = false) }
                 delay(6_000)
-                cut("a")
+                isolateZone("a")
                 delay(60_000)
-                val owner = owners()["a"]
-                cut(null)
+                val leader = partitionLeaders()["a"]
+                isolateZone(null)
                 delay(8_000)
-                if (owner == "holt-a" ||
-                    owners()["a"] != owner
-                ) {
-                    broken.add("the partition of a went from $owner to ${owners()["a"]}")
+                if (leader == "holt-a" || partitionLeaders()["a"] != leader) {
+                    violations.add("the leader of partition a changed from $leader to ${partitionLeaders()["a"]}")
                 }
             },
             ClusterScenario(
-                "hundreds of machines: a wave of losses, then all controllers crash in a burst and again in the middle of their claims",
+                "hundreds of machines: 60 are lost, all controllers crash, and again during leadership acquisition",
                 capacity = 60,
             ) {
                 for (zone in zones) repeat(100) { boot(zone, spot = it % 2 == 0) }
                 for (id in 201..240) {
-                    user(
+                    startUser(
                         spec(
                             id,
                             30,
                             6.0 + id % 5,
-                            if (id % 3 ==
-                                0
-                            ) {
+                            if (id % 3 == 0) {
                                 "bulk"
                             } else {
                                 "urgent"
@@ -355,7 +345,7 @@
                     )
                 }
                 delay(8_000)
-                machines().filter { it.spot }.shuffled(random).take(60).forEach { take(it) }
+                machines().filter { it.spot }.shuffled(random).take(60).forEach { reclaim(it) }
                 delay(2_000)
                 machines().shuffled(random).take(25).forEach { it.hang(14_000) }
                 nodes.forEach(::crash)
@@ -367,41 +357,39 @@
                     delay(200)
                     startNode(node)
                 }
-                copies = 0.1
+                duplicateReportShare = 0.1
                 delay(20_000)
-                copies = 0.0
+                duplicateReportShare = 0.0
             },
             ClusterScenario(
-                "hundreds of machines: an owner stands still, then all workers come to the one controller left",
+                "hundreds of machines: a leader is isolated, then all workers move to the only controller left",
                 capacity = 60,
             ) {
                 for (zone in zones) repeat(100) { boot(zone, spot = it % 2 == 0) }
-                for (id in 201..240) user(spec(id, 30, 40.0 + id % 5))
+                for (id in 201..240) startUser(spec(id, 30, 40.0 + id % 5))
                 delay(16_000)
-                // Nothing that it sends or is sent arrives meanwhile, whatever its clock says.
-                cutNodes.add("holt-a")
-                peerless.add("holt-a")
-                state.refusedFor = "holt-a"
+                // No message from or to holt-a arrives meanwhile, regardless of its clock.
+                nodesCutFromWorkers.add("holt-a")
+                nodesWithoutPeers.add("holt-a")
+                state.refusedNode = "holt-a"
                 delay(21_000)
-                cutNodes.clear()
-                peerless.clear()
-                state.refusedFor = null
+                nodesCutFromWorkers.clear()
+                nodesWithoutPeers.clear()
+                state.refusedNode = null
                 delay(3_000)
                 crash("holt-a")
                 crash("holt-b")
                 delay(14_000)
-                if (owners().values.toSet() !=
-                    setOf("holt-c")
-                ) {
-                    broken.add("crashed controllers still own partitions: ${owners()}")
+                if (partitionLeaders().values.toSet() != setOf("holt-c")) {
+                    violations.add("crashed controllers still lead partitions: ${partitionLeaders()}")
                 }
                 startNode("holt-a")
                 startNode("holt-b")
             },
-            ClusterScenario("a controller is cut off from the workers") {
-                cutNodes.add("holt-b")
+            ClusterScenario("a controller loses the connection to its workers") {
+                nodesCutFromWorkers.add("holt-b")
                 delay(30_000)
-                cutNodes.clear()
+                nodesCutFromWorkers.clear()
             },
         )
     }
--- a/src/test/kotlin/io/otterknot/cluster/CombinedFailureTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/CombinedFailureTest.kt
@@ -9,18 +9,18 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-/** Two troubles that meet, each brought about on purpose, at several distances where the distance matters. */
+/** Combinations of two or more faults; where the time between them matters, each case runs with several values. */
 class CombinedFailureTest {
     @ParameterizedTest
     @MethodSource("cases")
-    fun `no rule breaks where troubles meet`(case: ClusterScenario) = case.play()
+    fun `no safety rule is violated when faults combine`(case: ClusterScenario) = case.run()
 
     companion object {
         /**
-         * Work that is there for long, in every partition: what is called off must be ended, it does not end by itself.
+         * Submits jobs in every partition that run so long that a cancelled one must be stopped, not just awaited.
          */
-        private suspend fun SimulatedCluster.longWork(jobs: Int = 8, runS: Double = 120.0) {
-            for (id in 201..200 + jobs) user(spec(id, 4, runS))
+        private suspend fun SimulatedCluster.submitLongJobs(jobs: Int = 8, runS: Double = 120.0) {
+            for (id in 201..200 + jobs) startUser(spec(id, 4, runS))
             delay(9_000)
         }
 
@@ -30,104 +30,104 @@
             state.outage(false)
         }
 
-        private fun gaps() = listOf(300L, 900L, 1_400L, 2_000L, 6_000L, 14_000L).map { apart ->
+        private fun outageCases() = listOf(300L, 900L, 1_400L, 2_000L, 6_000L, 14_000L).map { gapMs ->
             ClusterScenario(
-                "cancelled while the state service refuses one owner alone, then it is out for longer than cancel_s: $apart ms apart",
+                "cancelled while the state service refuses one leader, then an outage beyond cancel_s after $gapMs ms",
                 seeds = 1,
-                mixture = false,
+                defaultWorkload = false,
             ) {
-                longWork()
-                state.refusedFor = "holt-a"
+                submitLongJobs()
+                state.refusedNode = "holt-a"
                 delay(50)
-                cancelNow(4)
-                delay(apart)
+                cancelRunning(4)
+                delay(gapMs)
                 state.outage(true)
                 delay(54_000)
-                state.refusedFor = null
+                state.refusedNode = null
                 state.outage(false)
             }
         }
 
-        /** The latest that a fence can end: just before everything is lost, the owner was told that all is well. */
-        private fun gapAfterRenewal() = ClusterScenario(
-            "the same right after a renewal, so that the owner may act for as long as it ever may",
+        /** The latest possible end of a fence: the leader renewed its lease just before it lost the state service. */
+        private fun afterRenewalCase() = ClusterScenario(
+            "cancelled right after a lease renewal of the refused leader, which may act for the longest possible time",
             seeds = 3,
-            mixture = false,
+            defaultWorkload = false,
         ) {
-            longWork()
-            while (nowMs() - (state.renewedMs["holt-a"] ?: 0) > 20) delay(5)
+            submitLongJobs()
+            while (nowMs() - (state.lastRenewalMs["holt-a"] ?: 0) > 20) delay(5)
             delay(400)
-            state.refusedFor = "holt-a"
-            cancelNow(8)
+            state.refusedNode = "holt-a"
+            cancelRunning(8)
             delay(350)
             state.outage(true)
             delay(54_000)
-            state.refusedFor = null
+            state.refusedNode = null
             state.outage(false)
         }
 
-        private fun atLimit() = listOf(200L, 1_500L, 4_000L).map { apart ->
+        private fun teamAtLimitCases() = listOf(200L, 1_500L, 4_000L).map { gapMs ->
             ClusterScenario(
-                "a team at its limit, its leader ends, machines can't be asked, and a job is called off $apart ms before",
+                "a team at its limit: leaders restart $gapMs ms after cancellations, some machines are unreachable",
                 teamLimit = 16.0,
                 seeds = 2,
-                mixture = false,
+                defaultWorkload = false,
             ) {
-                for (id in 202..216 step 2) user(spec(id, 3, 30.0))
+                for (id in 202..216 step 2) startUser(spec(id, 3, 30.0))
                 delay(9_000)
-                machines().filter { it.zone == "a" }.take(1).forEach { it.unreached = true }
+                machines().filter { it.zone == "a" }.take(1).forEach { it.inboundBlocked = true }
                 machines().filter { it.zone == "b" }.take(1).forEach { it.hang(8_000) }
-                cancelNow(3)
-                delay(apart)
-                lostAnswers = 0.5
+                cancelRunning(3)
+                delay(gapMs)
+                lostReportAnswerShare = 0.5
                 nodes.forEach(::restart)
                 delay(20_000)
-                lostAnswers = 0.0
-                machines().forEach { it.unreached = false }
+                lostReportAnswerShare = 0.0
+                machines().forEach { it.inboundBlocked = false }
                 delay(10_000)
             }
         }
 
-        private fun isolated() = listOf(1_000L, 8_000L, 15_000L).map { apart ->
+        private fun isolatedLeaderCases() = listOf(1_000L, 8_000L, 15_000L).map { gapMs ->
             ClusterScenario(
-                "a leader loses state service and peers but not its workers, and jobs are called off through the new one after $apart ms",
+                "a leader loses state service and peers but not its workers, jobs are cancelled after $gapMs ms",
                 seeds = 1,
-                mixture = false,
+                defaultWorkload = false,
             ) {
-                longWork()
-                state.refusedFor = "holt-a"
-                peerless.add("holt-a")
-                delay(apart)
-                cancelNow(5)
+                submitLongJobs()
+                state.refusedNode = "holt-a"
+                nodesWithoutPeers.add("holt-a")
+                delay(gapMs)
+                cancelRunning(5)
                 delay(60_000)
-                state.refusedFor = null
-                peerless.clear()
+                state.refusedNode = null
+                nodesWithoutPeers.clear()
             }
         }
 
         @JvmStatic
-        fun cases() = gaps() + gapAfterRenewal() + atLimit() + isolated() + listOf(
+        fun cases() = outageCases() + afterRenewalCase() + teamAtLimitCases() + isolatedLeaderCases() + listOf(
             ClusterScenario(
-                "a node's watch stands still while all else that it asks is answered, and jobs are called off",
+                "the watch of a node stalls while its other requests are answered, and jobs are cancelled",
                 seeds = 2,
-                mixture = false,
+                defaultWorkload = false,
             ) {
-                // By its renewals alone it would go on answering its workers, and never learn of what was called off.
-                longWork()
+                // Judged by its lease renewals alone the node would keep serving workers without seeing cancellations.
+                submitLongJobs()
                 state.watchless = "holt-a"
                 delay(300)
-                cancelNow(6)
+                cancelRunning(6)
                 delay(50_000)
                 state.watchless = null
             },
             ClusterScenario(
-                "a node that has lost its lease gets another while its watch stands still",
+                "a node loses its lease and acquires another while its watch is stalled",
                 seeds = 2,
-                mixture = false,
+                defaultWorkload = false,
             ) {
-                longWork()
+                submitLongJobs()
                 state.watchless = "holt-a"
-                cancelNow(4)
+                cancelRunning(4)
                 crash("holt-b")
                 crash("holt-c")
                 delay(45_000)
@@ -135,69 +135,69 @@
                 startNode("holt-c")
                 state.watchless = null
             },
-            ClusterScenario("answers to workers are held up for seconds, and machines go on") {
-                answerMs = 5_500
+            ClusterScenario("answers to workers are delayed for seconds, and machines hang and resume") {
+                maxAnswerDelayMs = 5_500
                 machines().take(3).forEach { it.hang(6_000) }
                 delay(20_000)
-                cancelNow(2)
+                cancelRunning(2)
                 delay(10_000)
-                answerMs = 0
+                maxAnswerDelayMs = 0
             },
             ClusterScenario(
-                "controllers get no turn for up to twice a lease, timers and renewals come late, jobs are called off",
+                "controllers are paused for up to two leases, timers and renewals run late, and jobs are cancelled",
             ) {
-                longWork()
+                submitLongJobs()
                 repeat(10) {
                     pause(nodes.random(random), 500 + random.nextLong(20_000))
                     delay(random.nextLong(3_000))
-                    cancelNow(2)
+                    cancelRunning(2)
                     delay(2_000 + random.nextLong(6_000))
                 }
                 nodes.forEach { pause(it, 12_000) }
                 delay(25_000)
             },
-            ClusterScenario("a controller gets no turn in the middle of a take-over, with a burst of work") {
-                for (id in 201..216) user(spec(id, 1 + id % 8, 3.0))
+            ClusterScenario("controllers are paused during a failover, with a burst of jobs") {
+                for (id in 201..216) startUser(spec(id, 1 + id % 8, 3.0))
                 crash("holt-a")
                 delay(3_000)
                 pause("holt-b", 6_000)
                 startNode("holt-a")
                 delay(4_000)
                 pause("holt-a", 8_000)
-                cancelNow(3)
+                cancelRunning(3)
                 crash("holt-c")
                 delay(12_000)
                 startNode("holt-c")
                 delay(10_000)
             },
-            ClusterScenario("transactions are carried out 2 to 12 s late, after newer ones of the same controller") {
-                state.lateWrites = 0.3
+            ClusterScenario("transactions are applied 2 to 12 s late, after newer ones of the same node") {
+                state.delayedTransactionShare = 0.3
                 for (id in 201..216) {
-                    user(spec(id, 1 + id % 3, 2.0), if (id % 3 == 0) 2_000 else null)
+                    startUser(spec(id, 1 + id % 3, 2.0), if (id % 3 == 0) 2_000 else null)
                     delay(1_500)
                 }
-                cancelNow(4)
+                cancelRunning(4)
                 delay(20_000)
-                state.lateWrites = 0.0
+                state.delayedTransactionShare = 0.0
             },
             ClusterScenario(
-                "late transactions while partitions change hands, and a team is at its limit",
+                "late transactions during failovers, with a team at its limit",
                 teamLimit = 16.0,
             ) {
-                state.lateWrites = 0.3
+                state.delayedTransactionShare = 0.3
                 repeat(6) {
                     restart(nodes[it % 3])
                     delay(4_000)
                 }
                 delay(15_000)
-                state.lateWrites = 0.0
+                state.delayedTransactionShare = 0.0
             },
-            ClusterScenario("jobs of two and three tasks end far apart across changes of leader", mixture = false) {
+            ClusterScenario("tasks of one job end far apart, with failovers between them", defaultWorkload = false) {
                 for (id in 201..212) {
                     val spec = spec(id, 2 + id % 2, 2.0)
-                    runS["${spec.id}/1"] = 14.0
-                    runS["${spec.id}/2"] = 40.0
-                    user(spec)
+                    taskRunS["${spec.id}/1"] = 14.0
+                    taskRunS["${spec.id}/2"] = 40.0
+                    startUser(spec)
                 }
                 repeat(4) {
                     delay(5_000)
@@ -206,38 +206,38 @@
                     startNode(nodes[it % 3])
                 }
             },
-            ClusterScenario("jobs bound to one zone, arrays too, lose machines", mixture = false) {
-                for (id in 201..206) user(spec(id, 6, 6.0, zone = "a"))
-                for (id in listOf(203, 210, 217, 224)) user(spec(id + 100, 5, 8.0).copy(sameZone = true))
-                for (id in listOf(401, 402)) user(spec(id, 5, 6.0, spot = false).copy(spreadAcrossZones = true))
+            ClusterScenario("jobs with zone constraints lose machines", defaultWorkload = false) {
+                for (id in 201..206) startUser(spec(id, 6, 6.0, zone = "a"))
+                for (id in listOf(203, 210, 217, 224)) startUser(spec(id + 100, 5, 8.0).copy(sameZone = true))
+                for (id in listOf(401, 402)) startUser(spec(id, 5, 6.0, spot = false).copy(spreadAcrossZones = true))
                 delay(7_000)
-                machines().filter { it.zone == "a" }.forEach(::take)
+                machines().filter { it.zone == "a" }.forEach(::reclaim)
                 delay(6_000)
                 machines().filter { it.zone == "b" }.forEach { it.hang(20_000) }
                 restart("holt-a")
                 delay(8_000)
             },
-            ClusterScenario("jobs that keep to one zone wait in a full one while another has room", mixture = false) {
-                for (id in 301..320) user(spec(id * 7, 2, 20.0, "bulk", Priority.BEST_EFFORT))
+            ClusterScenario("single-zone jobs wait in a full zone while another is free", defaultWorkload = false) {
+                for (id in 301..320) startUser(spec(id * 7, 2, 20.0, "bulk", Priority.BEST_EFFORT))
                 delay(1_500)
-                // Urgent work that may run nowhere else fills the zone for longer than anything may wait.
+                // Urgent jobs that are bound to zone a fill it for longer than any job may wait.
                 for (id in listOf(401, 402, 403, 404, 407, 408, 409, 411, 412, 414, 416)) {
-                    user(
+                    startUser(
                         spec(id, 3, 260.0, zone = "a").copy(spreadAcrossZones = false, sameZone = false),
                     )
                 }
                 delay(10_000)
             },
-            ClusterScenario("all controllers are away for longer than a lease", mixture = false) {
-                longWork(runS = 30.0)
-                cancelNow(2)
+            ClusterScenario("all controllers are down for longer than a lease", defaultWorkload = false) {
+                submitLongJobs(runS = 30.0)
+                cancelRunning(2)
                 nodes.forEach(::crash)
                 delay(LEASE_S.toLong() * 1_000 + 5_000)
                 nodes.forEach(::startNode)
             },
-            ClusterScenario("reports are held back until a new leader has acted, and arrive there", mixture = false) {
-                longWork(runS = 20.0)
-                copies = 1.0
+            ClusterScenario("delayed duplicate reports reach a new leader after it acted", defaultWorkload = false) {
+                submitLongJobs(runS = 20.0)
+                duplicateReportShare = 1.0
                 for (node in nodes) {
                     crash(node)
                     machines().filter { it.zone == node.removePrefix("holt-") }.forEach { it.hang(4_000) }
@@ -245,21 +245,21 @@
                     startNode(node)
                     delay(9_000)
                 }
-                copies = 0.0
+                duplicateReportShare = 0.0
             },
             ClusterScenario(
-                "old reports arrive after newer ones, of earlier sessions and attempts too",
-                mixture = false,
+                "stale reports arrive after newer ones, also from earlier epochs and attempts",
+                defaultWorkload = false,
             ) {
-                longWork(runS = 15.0)
-                copies = 1.0
+                submitLongJobs(runS = 15.0)
+                duplicateReportShare = 1.0
                 repeat(3) {
                     machines().shuffled(random).take(3).forEach { it.hang(LEASE_S.toLong() * 1_000 + 2_000) }
                     delay(16_000)
                 }
-                copies = 0.0
+                duplicateReportShare = 0.0
             },
-            ClusterScenario("controllers hand over and back, all end, and one returns within a second") {
+            ClusterScenario("leadership fails over and back, all controllers crash, and one restarts within a second") {
                 repeat(3) {
                     crash("holt-a")
                     delay(9_000)
@@ -274,10 +274,10 @@
                 }
             },
             ClusterScenario(
-                "cancellation, question and repeated submission meet the end of the last task",
-                mixture = false,
+                "cancellations, polls and repeated submissions race the end of the last task",
+                defaultWorkload = false,
             ) {
-                onLastEnd = { spec ->
+                onJobCompleted = { spec ->
                     scope.launch {
                         delay(random.nextLong(1_200))
                         when (random.nextInt(4)) {
@@ -290,85 +290,83 @@
                     }
                 }
                 for (id in 201..270) {
-                    user(spec(id, 1 + id % 3, 2.0))
+                    startUser(spec(id, 1 + id % 3, 2.0))
                     delay(300)
                 }
                 delay(15_000)
             },
-            ClusterScenario("leaders change ten times in two minutes, also inside an outage") {
+            ClusterScenario("ten failovers in two minutes, some of them in an outage of the state service") {
                 repeat(10) {
-                    val leader = owners().values.toSet().randomOrNull(random) ?: nodes[it % 3]
+                    val leader = partitionLeaders().values.toSet().randomOrNull(random) ?: nodes[it % 3]
                     if (it % 4 == 1) state.outage(true)
                     crash(leader)
                     delay(6_000)
                     startNode(leader)
                     delay(5_000)
                     if (it % 4 == 2) state.outage(false)
-                    cancelNow(1)
+                    cancelRunning(1)
                 }
                 state.outage(false)
             },
             ClusterScenario("machines reach no controller for longer than their lease") {
-                machines().filter { it.zone == "a" }.forEach { it.mute = true }
-                machines().filter { it.zone == "b" }.take(1).forEach { it.mute = true }
-                cancelNow(3)
+                machines().filter { it.zone == "a" }.forEach { it.outboundBlocked = true }
+                machines().filter { it.zone == "b" }.take(1).forEach { it.outboundBlocked = true }
+                cancelRunning(3)
                 delay(25_000)
-                machines().forEach { it.mute = false }
+                machines().forEach { it.outboundBlocked = false }
             },
             ClusterScenario(
-                "a zone with workers and a controller is cut off for longer than a lease, and jobs are called off",
-                mixture = false,
+                "a zone with its workers and controller is isolated for longer than a lease, and jobs are cancelled",
+                defaultWorkload = false,
             ) {
-                longWork()
-                cut("a")
+                submitLongJobs()
+                isolateZone("a")
                 delay(1_000)
-                cancelNow(6)
+                cancelRunning(6)
                 delay(50_000)
-                cut(null)
+                isolateZone(null)
             },
             ClusterScenario(
-                "a leader ends while machines with long tasks can't be reached or don't hear the new one's answer",
-                mixture = false,
+                "two leaders crash while machines with long tasks hang or get no answers from the new leader",
+                defaultWorkload = false,
             ) {
-                longWork(runS = 40.0)
-                machines().filter { it.zone == "a" }.forEach { it.unreached = true }
+                submitLongJobs(runS = 40.0)
+                machines().filter { it.zone == "a" }.forEach { it.inboundBlocked = true }
                 machines().filter { it.zone == "b" }.take(1).forEach { it.hang(9_000) }
                 crash("holt-a")
                 crash("holt-b")
                 delay(3_000)
-                cancelNow(3)
+                cancelRunning(3)
                 delay(25_000)
-                machines().forEach { it.unreached = false }
+                machines().forEach { it.inboundBlocked = false }
                 startNode("holt-a")
                 startNode("holt-b")
             },
             ClusterScenario(
-                "the state service answers slowly, then refuses the leader alone, then everybody",
-                mixture = false,
+                "the state service is slow, then refuses one leader, then is unavailable",
+                defaultWorkload = false,
             ) {
-                longWork()
-                state.slowMs = 900
+                submitLongJobs()
+                state.requestDelayMs = 900
                 delay(5_000)
-                cancelNow(2)
-                state.refusedFor = "holt-a"
+                cancelRunning(2)
+                state.refusedNode = "holt-a"
                 delay(5_000)
-                cancelNow(2)
+                cancelRunning(2)
                 delay(700)
                 outage(45_000)
-                state.refusedFor = null
-                state.slowMs = 0
+                state.refusedNode = null
+                state.requestDelayMs = 0
             },
-            ClusterScenario("more work than room, urgent and not, over slow links") {
-                answerMs = 3_000
+            ClusterScenario("urgent and best-effort jobs exceed the capacity, and answers to workers are slow") {
+                maxAnswerDelayMs = 3_000
                 for (id in 201..230) {
-                    user(
+                    startUser(
                         spec(
                             id,
                             4,
                             6.0,
-                            if (id % 3 ==
-                                0
-                            ) {
+                            if (id % 3 == 0) {
                                 "bulk"
                             } else {
                                 "urgent"
@@ -378,16 +376,16 @@
                     )
                 }
                 delay(60_000)
-                cancelNow(6)
-                answerMs = 0
+                cancelRunning(6)
+                maxAnswerDelayMs = 0
             },
-            ClusterScenario("jobs are called off whose machines hang, deaf ones too", mixture = false) {
-                longWork()
+            ClusterScenario("jobs are cancelled while their machines hang or get no answers", defaultWorkload = false) {
+                submitLongJobs()
                 machines().take(3).forEach { it.hang(9_000) }
-                machines().drop(3).take(2).forEach { it.unreached = true }
-                cancelNow(8)
+                machines().drop(3).take(2).forEach { it.inboundBlocked = true }
+                cancelRunning(8)
                 delay(40_000)
-                machines().forEach { it.unreached = false }
+                machines().forEach { it.inboundBlocked = false }
             },
         )
     }
--- a/src/test/kotlin/io/otterknot/cluster/UnusualRequestTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/UnusualRequestTest.kt
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.minutes
 
-/** What users ask that they should not, and what they ask twice. */
+/** Invalid requests, repeated requests, and requests during an outage of the state service. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class UnusualRequestTest {
     private val requiredFields =
@@ -49,15 +49,14 @@
     private fun HttpResponse.state() =
         WireJson.parseToJsonElement(body.decodeToString()).jsonObject.getValue("Mood").jsonPrimitive.content
 
-    private fun HttpResponse.why() = WireJson.decodeFromString(ErrorResponse.serializer(), body.decodeToString()).error
+    private fun HttpResponse.errorMessage() =
+        WireJson.decodeFromString(ErrorResponse.serializer(), body.decodeToString()).error
 
     private fun SimulatedCluster.fields(id: Int): JsonObject =
         WireJson.parseToJsonElement(body(spec(id, 2)).decodeToString()).jsonObject
 
-    private fun JsonObject.but(name: String, value: JsonPrimitive?) = (
-        if (value ==
-            null
-        ) {
+    private fun JsonObject.withField(name: String, value: JsonPrimitive?) = (
+        if (value == null) {
             JsonObject(this - name)
         } else {
             JsonObject(this + (name to value))
@@ -65,26 +64,26 @@
         ).toString().encodeToByteArray()
 
     @Test
-    fun `what lacks a field is refused by name, what can never run with 422, and neither is known later`() = onCluster {
+    fun `an invalid field gets 400 with its name, a job that can never run 422, and neither is stored`() = onCluster {
         var id = 500
-        suspend fun refused(status: Int, field: String, value: JsonPrimitive?) {
+        suspend fun assertRefused(status: Int, field: String, value: JsonPrimitive?) {
             val spec = fields(++id)
-            val answer = send("POST", "/submissions", spec.but(field, value))
+            val answer = send("POST", "/submissions", spec.withField(field, value))
             assertEquals(status, answer.status, "$field = $value")
-            assertTrue(status == 422 || field in answer.why(), answer.why())
+            assertTrue(status == 422 || field in answer.errorMessage(), answer.errorMessage())
             assertEquals(404, send("GET", "/submissions/j-000$id").status)
         }
         for (field in requiredFields) {
-            refused(400, field, null)
-            refused(400, field, JsonNull)
-            refused(
+            assertRefused(400, field, null)
+            assertRefused(400, field, JsonNull)
+            assertRefused(
                 400,
                 field,
                 if (fields(1).getValue(field).toString().startsWith('"')) JsonPrimitive(7) else JsonPrimitive("x"),
             )
         }
         for (field in listOf("Chores", "Cores", "Cards", "MemoryGb", "SizeGb", "GuessS", "CacheS", "StashS", "DueS")) {
-            refused(
+            assertRefused(
                 400,
                 field,
                 JsonPrimitive(-1),
@@ -96,10 +95,10 @@
             "MemoryGb" to 65.0,
             "Cards" to 1.0,
         )) {
-            refused(422, field, JsonPrimitive(value))
+            assertRefused(422, field, JsonPrimitive(value))
         }
-        refused(422, "Crew", JsonPrimitive("green"))
-        refused(422, "Reach", JsonPrimitive("nowhere"))
+        assertRefused(422, "Crew", JsonPrimitive("green"))
+        assertRefused(422, "Reach", JsonPrimitive("nowhere"))
         for (body in listOf(
             "",
             "[]",
@@ -112,7 +111,7 @@
     }
 
     @Test
-    fun `a path that is none gets 404, a method that is none 405 with the one that is`() = onCluster {
+    fun `an unknown path gets 404, a wrong method 405 with the allowed one`() = onCluster {
         for (path in listOf(
             "/",
             "/submissions/",
@@ -138,18 +137,18 @@
     }
 
     /**
-     * A repeat may come at any time, spoilt on the way or asking for what would be refused now: what is known is never
-     * refused.
+     * A submission may be repeated at any time, even corrupted on the way or with content that would be refused now. A
+     * request about a known job is never refused.
      */
     @Test
-    fun `what is known is answered with its state, however it is asked`() = onCluster {
-        val good = body(expect(spec(601, 2, 3.0)))
-        assertEquals(201, send("POST", "/submissions", good).status)
-        val spoilt = fields(601).but("Cores", JsonPrimitive(-1))
-        suspend fun all(vararg states: String) {
+    fun `every request about a known job is answered with its state`() = onCluster {
+        val submission = body(registerJob(spec(601, 2, 3.0)))
+        assertEquals(201, send("POST", "/submissions", submission).status)
+        val invalidRepeat = fields(601).withField("Cores", JsonPrimitive(-1))
+        suspend fun assertEachAnswers(vararg states: String) {
             for (answer in listOf(
-                send("POST", "/submissions", good),
-                send("POST", "/submissions", spoilt),
+                send("POST", "/submissions", submission),
+                send("POST", "/submissions", invalidRepeat),
                 send("GET", "/submissions/j-000601"),
             )) {
                 assertTrue(
@@ -158,25 +157,25 @@
                 )
             }
         }
-        all("queued", "running")
+        assertEachAnswers("queued", "running")
         delay(20_000)
-        all("done")
+        assertEachAnswers("done")
         assertEquals(
             "done",
             send("POST", "/submissions/j-000601/withdraw").state(),
-            "what is done is not cancelled any more",
+            "a done job cannot be cancelled",
         )
-        all("done")
-        send("POST", "/submissions", body(expect(spec(603, 2, 30.0))))
+        assertEachAnswers("done")
+        send("POST", "/submissions", body(registerJob(spec(603, 2, 30.0))))
         assertEquals("aborted", send("POST", "/submissions/j-000603/withdraw").state())
         assertEquals("aborted", send("POST", "/submissions/j-000603/withdraw").state())
         assertEquals("aborted", send("POST", "/submissions", body(spec(603, 2, 30.0))).state())
     }
 
     @Test
-    fun `while the state service is away what is not known for sure is refused at once, with the time to come back`() =
+    fun `during an outage a request that cannot be answered reliably gets 503 with a retry time immediately`() =
         onCluster {
-            send("POST", "/submissions", body(expect(spec(611, 2, 60.0))))
+            send("POST", "/submissions", body(registerJob(spec(611, 2, 60.0))))
             state.outage(true)
             delay(3_000)
             for ((method, path, body) in listOf(
@@ -184,31 +183,32 @@
                 Triple("GET", "/submissions/j-000611", ByteArray(0)),
                 Triple("GET", "/submissions/j-000999", ByteArray(0)),
                 Triple("POST", "/submissions/j-000611/withdraw", ByteArray(0)),
-                Triple("POST", "/submissions", fields(613).but("Cores", null)),
+                Triple("POST", "/submissions", fields(613).withField("Cores", null)),
             )) {
                 val answer = send(method, path, body)
                 assertTrue(answer.status == 503 && answer.retryAfterS != null, "$method $path: ${answer.status}")
             }
         }
 
-    /** What it answers to a job that awaits others, before anything is known to have changed. */
+    /** The answers about jobs with dependencies, also right after a dependency was cancelled. */
     @Test
-    fun `a job may await only what was accepted, and is cancelled with what it awaits`() = onCluster {
-        suspend fun submit(id: Int, vararg awaits: String) =
-            send("POST", "/submissions", body(expect(spec(id, 1, 30.0).copy(dependencies = awaits.toList()))))
+    fun `a job may depend only on accepted jobs and is cancelled with its dependencies`() = onCluster {
+        suspend fun submit(id: Int, vararg dependencies: String) = send(
+            "POST",
+            "/submissions",
+            body(registerJob(spec(id, 1, 30.0).copy(dependencies = dependencies.toList()))),
+        )
         assertEquals(201, submit(701).status)
         for (unknown in listOf("j-000799", "j-000702", "j-701")) {
             val answer = submit(702, "j-000701", unknown)
-            assertTrue(answer.status == 422 && unknown in answer.why(), answer.why())
+            assertTrue(answer.status == 422 && unknown in answer.errorMessage(), answer.errorMessage())
             assertEquals(404, send("GET", "/submissions/j-000702").status)
         }
         assertEquals(201 to "queued", submit(702, "j-000701").let { it.status to it.state() })
         assertEquals(
             200 to "queued",
-            submit(702, "j-000799").let {
-                it.status to it.state()
-            },
-            "what is known is answered before that is looked at",
+            submit(702, "j-000799").let { it.status to it.state() },
+            "a known job is answered before its dependencies are checked",
         )
         assertEquals(201 to "queued", submit(703, "j-000702", "j-000701").let { it.status to it.state() })
         delay(5_000)
@@ -221,17 +221,13 @@
         }
         assertEquals(
             201 to "aborted",
-            submit(704, "j-000703").let {
-                it.status to it.state()
-            },
-            "it is accepted all the same",
+            submit(704, "j-000703").let { it.status to it.state() },
+            "a job with a cancelled dependency is accepted",
         )
         delay(10_000)
         assertTrue(
-            listOf(702, 703, 704).all {
-                "\"x\":\"a\"" in state.value("o/j/j-000$it").toString()
-            },
-            "and their final states are written",
+            listOf(702, 703, 704).all { "\"x\":\"a\"" in state.value("o/j/j-000$it").toString() },
+            "the terminal states of the cancelled jobs are stored",
         )
         assertEquals(1, starts)
         state.outage(true)
--- a/src/test/kotlin/io/otterknot/testing/ClusterScenario.kt
+++ b/src/test/kotlin/io/otterknot/testing/ClusterScenario.kt
@@ -15,27 +15,35 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import kotlin.time.Duration.Companion.minutes
 
-/** A trouble, or several that meet, in the life of a cluster. */
+/**
+ * One simulated test case: a cluster on virtual time, a workload, and the faults that [injectFaults] injects after
+ * 12 s. All safety checks run throughout, and every job must reach a terminal state.
+ */
 class ClusterScenario(
     val name: String,
+    /** The most cores that team red may use; 0: no limit. */
     val teamLimit: Double = 0.0,
+    /** How many machines of each kind (spot or not) the cloud has in a zone. */
     val capacity: Int = 4,
     val seeds: Long = 2L,
     val firstSeed: Long = 1L,
-    /** The changes a second that controllers may make together; few make them wait for their turn. */
+    /** The changes per second that all controllers may write together; with a low value they queue for the store. */
     val changesPerS: Double = 300.0,
-    /** Whether the usual mixture of jobs arrives; the trouble may bring its own instead. */
-    val mixture: Boolean = true,
+    /** Whether the default mix of 14 jobs is submitted; otherwise [injectFaults] submits the workload. */
+    val defaultWorkload: Boolean = true,
     val operators: OperatorSettings = OperatorSettings(),
-    /** The teams, where they are not the usual two. */
+    /** The teams; by default red, limited to [teamLimit] cores, and blue without a limit. */
     val teams: List<TeamSettings> = listOf(TeamSettings("red", cpusMax = teamLimit), TeamSettings("blue")),
-    val trouble: suspend SimulatedCluster.() -> Unit,
+    val injectFaults: suspend SimulatedCluster.() -> Unit,
 ) {
     override fun toString() = name
 
-    /** Plays the case with some seeds; every rule is watched, and every job must end. */
+    /**
+     * Runs the scenario with [seeds] seeds from [firstSeed] on (their number can be set by `-Dotterknot.seeds`). Fails
+     * on a safety violation and on a job that has not ended about 15 minutes of virtual time after the faults.
+     */
     @OptIn(ExperimentalCoroutinesApi::class)
-    fun play() = runTest(timeout = 3.minutes) {
+    fun run() = runTest(timeout = 3.minutes) {
         for (seed in firstSeed..<firstSeed + (System.getProperty("otterknot.seeds")?.toLong() ?: seeds)) {
             coroutineScope {
                 val started = testScheduler.currentTime
@@ -52,15 +60,15 @@
                     )
                 cluster.zones.forEach { zone -> repeat(2) { cluster.boot(zone, spot = it == 1) } }
                 cluster.nodes.forEach(cluster::startNode)
-                launch { cluster.balance() }
+                launch { cluster.runLoadBalancer() }
                 launch {
                     while (true) {
                         delay(1_000)
                         cluster.inspect()
-                        cluster.stranger("j-%06d".format(900_000 + cluster.random.nextInt(1000)))
+                        cluster.pollUnknownJob("j-%06d".format(900_000 + cluster.random.nextInt(1000)))
                     }
                 }
-                if (mixture) {
+                if (defaultWorkload) {
                     launch {
                         for (id in 1..14) {
                             delay(cluster.random.nextLong(3_000))
@@ -74,23 +82,23 @@
                                 spot = id % 4 != 0,
                                 cores = if (low) 1.0 else 2.0,
                             )
-                            cluster.user(spec, if (id % 6 == 5) 4_000 else null)
+                            cluster.startUser(spec, if (id % 6 == 5) 4_000 else null)
                         }
                     }
                 }
                 delay(12_000)
-                trouble(cluster)
-                cluster.troublesOver()
+                injectFaults(cluster)
+                cluster.faultsCleared()
                 var waited = 0
-                while (!cluster.allOver() && waited++ < 900) delay(1_000)
+                while (!cluster.allTerminal() && waited++ < 900) delay(1_000)
                 delay(CANCEL_S.toLong() * 1000 + 2_000)
-                assertEquals(emptyList<String>(), cluster.broken, "seed $seed")
+                assertEquals(emptyList<String>(), cluster.violations, "seed $seed")
                 assertEquals(
                     emptyList<String>(),
-                    cluster.open(),
+                    cluster.nonTerminalJobs(),
                     "jobs that did not end with seed $seed after ${testScheduler.currentTime - started} ms",
                 )
-                assertTrue(cluster.starts > 0, "nothing_ran")
+                assertTrue(cluster.starts > 0, "nothing_ran: no task was started")
                 currentCoroutineContext().cancelChildren()
             }
         }
--- a/src/test/kotlin/io/otterknot/testing/FakeCloud.kt
+++ b/src/test/kotlin/io/otterknot/testing/FakeCloud.kt
@@ -12,7 +12,10 @@
 import io.otterknot.wire.WireJson
 import kotlinx.coroutines.delay
 
-/** A cloud of one machine type, with [capacity] machines of each kind in a zone; its list is two seconds late. */
+/**
+ * A cloud with one machine type and at most [capacity] machines of each kind (spot or not) in a zone. A new machine
+ * appears in the machine list two seconds after it was booted.
+ */
 class FakeCloud(
     zones: List<String>,
     private val capacity: Int,
@@ -20,12 +23,12 @@
     private val newWorker: (id: String, zone: String, spot: Boolean) -> SimulatedWorker,
 ) : Transport {
     private val types = listOf(MachineType("big", 8.0, 0.0, 64.0, 20.0, 1.0, 1.0, 0.4, 3.0, zones))
-    private val bids = HashMap<String, List<String>>()
+    private val machinesByRequest = HashMap<String, List<String>>()
     private val workersById = LinkedHashMap<String, SimulatedWorker>()
     private var lastMachine = 0
 
-    /** It answers nothing but 503. */
-    var away = false
+    /** Whether every request gets 503. */
+    var unavailable = false
 
     val workers: Collection<SimulatedWorker> get() = workersById.values
 
@@ -35,30 +38,30 @@
         return worker
     }
 
-    /** Takes a machine back without a notice. */
-    fun take(id: String) {
-        workersById.remove(id)?.end()
+    /** Terminates a machine without notice. */
+    fun reclaim(id: String) {
+        workersById.remove(id)?.terminate()
     }
 
     override suspend fun call(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
         delay(40)
-        if (away) return answer(503, """{"error":"trouble"}""")
+        if (unavailable) return answer(503, """{"error":"cloud unavailable"}""")
         val text = body?.decodeToString().orEmpty()
         return when {
             target == "/flavors" -> answer(200, WireJson.encodeToString(MachineTypes.serializer(), MachineTypes(types)))
             target.startsWith("/machines/release") -> release(text)
             method == "GET" -> list()
-            else -> rent(WireJson.decodeFromString(ScaleOutRequest.serializer(), text))
+            else -> scaleOut(WireJson.decodeFromString(ScaleOutRequest.serializer(), text))
         }
     }
 
     private fun release(text: String): Reply {
-        WireJson.decodeFromString(MachineNames.serializer(), text).machines.forEach(::take)
+        WireJson.decodeFromString(MachineNames.serializer(), text).machines.forEach(::reclaim)
         return answer(200, "{}")
     }
 
     private fun list(): Reply {
-        val listed = workers.filter { nowMs() - it.bornMs > 2_000 }.map {
+        val listed = workers.filter { nowMs() - it.bootedMs > 2_000 }.map {
             ListedMachine(
                 it.id,
                 null,
@@ -66,19 +69,19 @@
                 it.zone,
                 it.spot,
                 ListedMachineState.RUNNING,
-                (nowMs() - it.bornMs) / 1000.0,
+                (nowMs() - it.bootedMs) / 1000.0,
             )
         }
         return answer(200, WireJson.encodeToString(MachineList.serializer(), MachineList(listed)))
     }
 
-    private fun rent(request: ScaleOutRequest): Reply {
-        val names = bids.getOrPut(request.request) {
-            val room = capacity - workers.count { it.zone == request.zone && it.spot == request.spot }
-            List(minOf(room, request.count).coerceAtLeast(0)) { boot(request.zone, request.spot).id }
+    private fun scaleOut(request: ScaleOutRequest): Reply {
+        val names = machinesByRequest.getOrPut(request.request) {
+            val available = capacity - workers.count { it.zone == request.zone && it.spot == request.spot }
+            List(minOf(available, request.count).coerceAtLeast(0)) { boot(request.zone, request.spot).id }
         }
         if (names.isEmpty()) {
-            bids.remove(request.request)
+            machinesByRequest.remove(request.request)
             return answer(503, """{"error":"no capacity"}""")
         }
         return answer(200, WireJson.encodeToString(MachineNames.serializer(), MachineNames(names)))
--- a/src/test/kotlin/io/otterknot/testing/FakeKeyValueStore.kt
+++ b/src/test/kotlin/io/otterknot/testing/FakeKeyValueStore.kt
@@ -17,151 +17,160 @@
 import java.util.TreeMap
 import kotlin.random.Random
 
-/** A state service in memory, on virtual time, that can be away, lose answers and apply transactions late. */
+/**
+ * An in-memory state service on virtual time. Its faults can be set: outages, lost answers, delayed or duplicated
+ * transactions, stalled watches, rejected writes.
+ */
 class FakeKeyValueStore(private val scope: CoroutineScope, private val random: Random, private val nowMs: () -> Long) {
-    private class Kept(val value: JsonElement, val version: Long, val lease: Long?)
+    private class StoredValue(val value: JsonElement, val version: Long, val lease: Long?)
     private class Lease(val ttlMs: Long, var endsMs: Long)
 
-    private val data = TreeMap<String, Kept>()
+    private val data = TreeMap<String, StoredValue>()
     private val leases = HashMap<Long, Lease>()
     private val log = ArrayList<KeyChange>()
     private var nextLease = 1L
     var revision = 0L
         private set
-    private var away = false
+    private var unavailable = false
 
-    /** One node for which every request is refused. */
-    var refusedFor: String? = null
+    /** The node whose every request gets 503, or null. */
+    var refusedNode: String? = null
 
-    /** One node whose watches wait, open ones and new ones, while all else that it asks is answered. */
+    /** The node whose watches, open and new, return nothing while its other requests are answered; or null. */
     var watchless: String? = null
 
-    /** Share of transactions whose answer is lost, half of them applied up to some seconds later. */
-    var lossy = 0.0
+    /** Share of transactions whose answer is lost; half of these are applied up to 8 s later, the others never. */
+    var lostTransactionShare = 0.0
 
     /**
-     * Share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones of the same node.
+     * Share of transactions that get no answer and are applied 2 to 12 s later, possibly after newer transactions of
+     * the same node.
      */
-    var lateWrites = 0.0
+    var delayedTransactionShare = 0.0
 
-    /** How much longer than usual every answer takes. */
-    var slowMs = 0L
+    /** How much every request except watches is delayed before it is handled. */
+    var requestDelayMs = 0L
 
-    /** How long an answer may be on its way back, after the request was carried out; past its limit it is lost. */
-    var answerMs = 0L
+    /**
+     * The longest random delay of an answer after the request was handled. An answer that arrives after the timeout of
+     * the request is lost.
+     */
+    var maxAnswerDelayMs = 0L
 
-    /** How long the answers of watches may be on their way; what they say is older by then. */
-    var watchAnswerMs = 0L
+    /** The longest random delay of a watch answer, whose content is stale by that time. */
+    var maxWatchAnswerDelayMs = 0L
 
-    /** Share of transactions that are carried out at once and whose answer alone is lost. */
-    var unanswered = 0.0
+    /** Share of transactions that are applied immediately but whose answer is lost. */
+    var lostAnswerShare = 0.0
 
-    /** Share of transactions that are carried out once more, up to some seconds later. */
-    var repeated = 0.0
+    /** Share of transactions that are applied a second time up to 6 s later. */
+    var duplicateTransactionShare = 0.0
 
-    /** How many changes it remembers for watches; what asks for older ones has to read everything again. */
+    /** How many changes are retained for watches. A watch from an older revision gets 410 and needs a full read. */
     var keptChanges = Int.MAX_VALUE
 
-    /** The most keys of a page, whatever is asked for. */
-    var pageKeys = Int.MAX_VALUE
+    /** The most keys of a page, also if the request allows more. */
+    var maxPageKeys = Int.MAX_VALUE
 
-    /** Told of each key that is put over an earlier value. */
+    /** Called for each put that replaces an earlier value. */
     var onOverwrite: (key: String, before: JsonElement, after: JsonElement) -> Unit = { _, _, _ -> }
 
-    /** The most bytes of a value, and changes of a transaction: more gets 400. */
+    /** The largest value in bytes; a transaction with a larger one gets 400. */
     var maxValueBytes = Int.MAX_VALUE
+
+    /** The most changes of a transaction; a larger transaction gets 400. */
     var maxOps = Int.MAX_VALUE
 
-    /** The most changes a second: more gets 429. */
+    /** The most changes per second; a transaction that exceeds the rate gets 429. */
     var maxWritesPerS = Double.MAX_VALUE
-    private var writes = 0.0
-    private var writesMs = 0L
+    private var writeLevel = 0.0
+    private var writeLevelMs = 0L
 
-    /** What was refused for its size. */
-    val tooLarge = ArrayList<String>()
+    /** A description of each transaction that was rejected because of its size. */
+    val rejectedForSize = ArrayList<String>()
 
     private fun refusal(txn: TransactionRequest): Reply? {
         val large = txn.changes.filter { it.value.toString().length > maxValueBytes }.map { it.key }
         if (large.isNotEmpty() || txn.changes.size > maxOps) {
-            tooLarge.add("${txn.changes.size} changes, too large: $large")
-            return answer(400, """{"error":"too large"}""")
+            rejectedForSize.add("${txn.changes.size} changes, values over the size limit: $large")
+            return answer(400, """{"error":"transaction too large"}""")
         }
-        writes = maxOf(0.0, writes - (nowMs() - writesMs) * maxWritesPerS / 1000)
-        writesMs = nowMs()
-        if (writes + txn.changes.size > maxWritesPerS) return answer(429, """{"error":"too many"}""")
-        writes += txn.changes.size
+        writeLevel = maxOf(0.0, writeLevel - (nowMs() - writeLevelMs) * maxWritesPerS / 1000)
+        writeLevelMs = nowMs()
+        if (writeLevel + txn.changes.size > maxWritesPerS) return answer(429, """{"error":"too many changes"}""")
+        writeLevel += txn.changes.size
         return null
     }
 
     fun outage(on: Boolean) {
-        away = on
-        // After an outage every lease has its full time again.
+        unavailable = on
+        // Every lease runs for its full TTL again after an outage.
         if (!on) leases.values.forEach { it.endsMs = nowMs() + it.ttlMs }
     }
 
-    /** What somebody else has stored, whatever was there. */
+    /** Stores [changes] unconditionally, as another client of the state service would. */
     fun store(vararg changes: KeyChange) {
         commit(TransactionRequest(emptyList(), changes.toList()))
     }
 
     fun value(key: String): JsonElement? = data[key]?.value
 
-    /** When each node last renewed a lease. */
-    val renewedMs = HashMap<String, Long>()
+    /** When each node last renewed a lease, by node. */
+    val lastRenewalMs = HashMap<String, Long>()
 
-    /** Everything that is stored, by key. */
+    /** All stored values by key. */
     fun contents(): Map<String, JsonElement> = data.mapValues { it.value.value }
 
+    /** The connection of [node] to this state service. */
     fun link(node: String) = Transport { method, target, body, timeoutMs ->
         val watches = target.startsWith("/watch")
         val reply = withTimeoutOrNull(timeoutMs) {
-            delay(2 + random.nextLong(6) + if (watches) 0 else slowMs)
+            delay(2 + random.nextLong(6) + if (watches) 0 else requestDelayMs)
             val reply = serve(node, method, target, body, timeoutMs)
-            val mostBackMs = if (watches) watchAnswerMs else answerMs
-            if (mostBackMs > 0) delay(random.nextLong(mostBackMs))
+            val maxDelayMs = if (watches) maxWatchAnswerDelayMs else maxAnswerDelayMs
+            if (maxDelayMs > 0) delay(random.nextLong(maxDelayMs))
             reply
         }
-        reply ?: Reply.None("no answer in time")
+        reply ?: Reply.None("no answer within the timeout")
     }
 
     private suspend fun serve(node: String, method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
-        if (away || refusedFor == node) return answer(503, """{"error":"trouble"}""")
+        if (unavailable || refusedNode == node) return answer(503, """{"error":"state service unavailable"}""")
         expire()
         val path = target.substringBefore('?')
         val query = target.substringAfter('?', "").split('&').filter { '=' in it }.associate {
-            it.substringBefore('=') to
-                it.substringAfter('=')
+            it.substringBefore('=') to it.substringAfter('=')
         }
         return when {
             path == "/txn" -> {
                 val txn = WireJson.decodeFromString(TransactionRequest.serializer(), body!!.decodeToString())
                 refusal(txn)?.let { return it }
-                if (lateWrites > 0 && random.nextDouble() < lateWrites) {
+                if (delayedTransactionShare > 0 && random.nextDouble() < delayedTransactionShare) {
                     scope.launch {
                         delay(2_000 + random.nextLong(10_000))
-                        if (!away) commit(txn)
+                        if (!unavailable) commit(txn)
                     }
                     delay(timeoutMs)
-                    return Reply.None("late")
+                    return Reply.None("transaction delayed")
                 }
-                if (random.nextDouble() < lossy) {
+                if (random.nextDouble() < lostTransactionShare) {
                     if (random.nextBoolean()) {
                         scope.launch {
                             delay(random.nextLong(8_000))
-                            if (!away) commit(txn)
+                            if (!unavailable) commit(txn)
                         }
                     }
                     delay(timeoutMs)
-                    return Reply.None("lost")
+                    return Reply.None("answer lost")
                 }
-                if (random.nextDouble() < repeated) {
+                if (random.nextDouble() < duplicateTransactionShare) {
                     scope.launch {
                         delay(random.nextLong(6_000))
-                        if (!away) commit(txn)
+                        if (!unavailable) commit(txn)
                     }
                 }
                 val reply = commit(txn)
-                if (random.nextDouble() < unanswered) delay(timeoutMs)
+                if (random.nextDouble() < lostAnswerShare) delay(timeoutMs)
                 reply
             }
 
@@ -176,7 +185,7 @@
                 val lease =
                     leases[path.removePrefix("/holds/").removeSuffix("/extend").toLong()] ?: return answer(404, "{}")
                 lease.endsMs = nowMs() + lease.ttlMs
-                renewedMs[node] = nowMs()
+                lastRenewalMs[node] = nowMs()
                 answer(200, "{}")
             }
 
@@ -192,7 +201,7 @@
                 val items = data.tailMap(query["After"] ?: under, query["After"] == null).entries.takeWhile {
                     it.key.startsWith(under)
                 }
-                val page = items.take(minOf(query.getValue("Page").toInt(), pageKeys)).map {
+                val page = items.take(minOf(query.getValue("Page").toInt(), maxPageKeys)).map {
                     KeyValue(it.key, it.value.value, it.value.version)
                 }
                 answer(
@@ -213,10 +222,10 @@
         while (true) {
             expire()
             if (log.size > keptChanges && log[log.size - keptChanges].version!! > after + 1) return answer(410, "{}")
-            val waits = away || refusedFor == node || watchless == node
-            val news = if (waits) emptyList() else log.filter { it.version!! > after && it.key.startsWith(under) }
-            if (news.isNotEmpty() || (nowMs() >= until && !waits)) {
-                return answer(200, WireJson.encodeToString(WatchEvents.serializer(), WatchEvents(revision, news)))
+            val stalled = unavailable || refusedNode == node || watchless == node
+            val events = if (stalled) emptyList() else log.filter { it.version!! > after && it.key.startsWith(under) }
+            if (events.isNotEmpty() || (nowMs() >= until && !stalled)) {
+                return answer(200, WireJson.encodeToString(WatchEvents.serializer(), WatchEvents(revision, events)))
             }
             delay(10)
         }
@@ -224,8 +233,8 @@
 
     private fun commit(txn: TransactionRequest): Reply {
         expire()
-        val leaseEnded = txn.changes.any { it.put != null && it.lease != null && it.lease !in leases }
-        if (leaseEnded) return answer(400, """{"error":"no such lease"}""")
+        val hasExpiredLease = txn.changes.any { it.put != null && it.lease != null && it.lease !in leases }
+        if (hasExpiredLease) return answer(400, """{"error":"no such lease"}""")
         val failed = txn.conditions.filter { (data[it.key]?.version ?: 0) != it.version }.map { it.key }
         if (failed.isNotEmpty()) {
             val keys = failed.joinToString(",") { "\"$it\"" }
@@ -236,7 +245,7 @@
             val put = change.put
             if (put != null) {
                 data[put]?.let { onOverwrite(put, it.value, change.value!!) }
-                data[put] = Kept(change.value!!, revision, change.lease)
+                data[put] = StoredValue(change.value!!, revision, change.lease)
                 log.add(KeyChange(put = put, value = change.value, version = revision))
             } else if (data.remove(change.key) != null) {
                 log.add(KeyChange(remove = change.key, version = revision))
@@ -246,11 +255,11 @@
     }
 
     private fun expire() {
-        if (away) return
-        val ended = leases.filterValues { it.endsMs < nowMs() }.keys
-        if (ended.isEmpty()) return
-        leases.keys.removeAll(ended)
-        for (key in data.filterValues { it.lease in ended }.keys.toList()) {
+        if (unavailable) return
+        val expiredLeases = leases.filterValues { it.endsMs < nowMs() }.keys
+        if (expiredLeases.isEmpty()) return
+        leases.keys.removeAll(expiredLeases)
+        for (key in data.filterValues { it.lease in expiredLeases }.keys.toList()) {
             revision++
             data.remove(key)
             log.add(KeyChange(remove = key, version = revision))
--- a/src/test/kotlin/io/otterknot/testing/LeadershipFixture.kt
+++ b/src/test/kotlin/io/otterknot/testing/LeadershipFixture.kt
@@ -8,7 +8,10 @@
 import io.otterknot.partition.Partition
 import kotlin.random.Random
 
-/** The leadership of a controller that may always acquire partitions and removes from [partitions] what it loses. */
+/**
+ * The partition leadership of the controller [label], which may acquire partitions at any time. A partition whose
+ * leadership it loses is removed from [partitions].
+ */
 fun StoreFixture.leadership(
     label: String,
     domains: Map<String, String>,
--- a/src/test/kotlin/io/otterknot/testing/ProductionVersionTransport.kt
+++ b/src/test/kotlin/io/otterknot/testing/ProductionVersionTransport.kt
@@ -10,14 +10,13 @@
 import kotlinx.serialization.json.jsonObject
 
 /**
- * The state service as the version in production sees it: fields that came later are ignored when they are read, and so
- * are gone when a record is written anew; keys that came later are never asked for or written.
+ * Connects a controller to the state service as the version in production would be connected: fields that were added
+ * after that version are removed from what is read and written, so they are lost when a record is rewritten, and keys
+ * that were added later are neither read nor written.
  */
 class ProductionVersionTransport(private val link: Transport) : Transport {
     override suspend fun call(method: String, target: String, body: ByteArray?, timeoutMs: Long): Reply {
-        val sent = if (target == "/txn" &&
-            body != null
-        ) {
+        val sent = if (target == "/txn" && body != null) {
             strip(WireJson.parseToJsonElement(body.decodeToString())).toString().encodeToByteArray()
         } else {
             body
@@ -28,17 +27,15 @@
     }
 
     companion object {
-        /** A message of the state service with each of its values as production reads and writes it. */
+        /** Returns [message] with the keys and fields removed that the version in production does not have. */
         fun strip(message: JsonElement): JsonElement = when (message) {
-            is JsonArray -> JsonArray(message.filterNot(::isLater).map(::strip))
+            is JsonArray -> JsonArray(message.filterNot(::isAddedLater).map(::strip))
 
             is JsonObject -> {
                 val key = (message["Key"] ?: message["Put"]) as? JsonPrimitive
                 JsonObject(
                     message.mapValues { (name, value) ->
-                        if (name == "V" &&
-                            key != null
-                        ) {
+                        if (name == "V" && key != null) {
                             record(key.content, value)
                         } else {
                             strip(value)
@@ -50,11 +47,11 @@
             else -> message
         }
 
-        private fun isLater(item: JsonElement): Boolean = (item as? JsonObject)?.let {
+        private fun isAddedLater(item: JsonElement): Boolean = (item as? JsonObject)?.let {
             (it["Key"] ?: it["Put"] ?: it["Remove"]) as? JsonPrimitive
         }?.content.orEmpty().startsWith("o/w/")
 
-        /** The value of one key. */
+        /** Returns the stored [value] of [key] without the fields that the version in production does not have. */
         fun record(key: String, value: JsonElement): JsonElement = when {
             key.startsWith("o/j/") -> {
                 val kept = value.jsonObject - setOf("w", "e")
--- a/src/test/kotlin/io/otterknot/testing/SafetyChecks.kt
+++ b/src/test/kotlin/io/otterknot/testing/SafetyChecks.kt
@@ -13,126 +13,135 @@
 const val LEASE_S = 10.0
 const val CANCEL_S = 35.0
 private const val CANCEL_MS = 35_000L
-private const val FORGOTTEN_MS = 75_000L
-private const val BEGIN_MS = 240_000L
-private const val STARVED_MS = 90_000L
+private const val UNANSWERED_LIMIT_MS = 75_000L
+private const val START_LIMIT_MS = 240_000L
+private const val STARVATION_LIMIT_MS = 90_000L
 private val FINAL_STATES = setOf(JobState.DONE, JobState.CANCELLED)
 
-/** Knows what users were told and what ran, and notes in [broken] every rule that is broken. */
+/**
+ * Checks the safety and liveness rules of the cluster against the answers that users got and the tasks that ran. Each
+ * violation is added to [violations], most of them with the name of the rule in front.
+ */
 class SafetyChecks(
     private val nowMs: () -> Long,
-    /** The most cores of each team; 0: no limit. */
-    private val limits: Map<String, Double>,
+    /** The most cores that each team may use; 0: no limit. */
+    private val coreLimits: Map<String, Double>,
     private val workers: () -> Collection<SimulatedWorker>,
 ) {
-    val broken = ArrayList<String>()
+    val violations = ArrayList<String>()
 
-    /** All jobs that users have or will have submitted. */
+    /** All jobs that users have submitted or are about to submit, by id. */
     val specs = HashMap<String, JobSpec>()
 
-    /** The jobs that their users want cancelled. */
-    val asked = HashSet<String>()
+    /** The ids of the jobs whose cancellation users have requested. */
+    val cancellationRequested = HashSet<String>()
 
     var starts = 0
         private set
 
-    /** Starts after the user was told of the cancellation: no rule forbids them for a while, but few are needed. */
+    /**
+     * Task starts after the cancellation of the job was reported to its user. They are allowed for cancel_s, but should
+     * be rare.
+     */
     var startsAfterCancel = 0
         private set
 
-    /** From when on all troubles are over. */
-    var overMs = Long.MAX_VALUE
+    /** The time from which on no fault is injected any more. */
+    var faultsClearedMs = Long.MAX_VALUE
 
-    private val told = HashMap<String, JobState>()
-    private val cancelledAt = HashMap<String, Long>()
-    private val completed = HashSet<String>()
-    private val acceptedAt = HashMap<String, Long>()
-    private val wholeAt = HashMap<String, Long>()
-    private val began = HashSet<String>()
-    private val answeredAt = HashMap<String, Long>()
+    private val lastReportedState = HashMap<String, JobState>()
+    private val cancellationReportedMs = HashMap<String, Long>()
+    private val completedTasks = HashSet<String>()
+    private val acceptedMs = HashMap<String, Long>()
+    private val jobCompletedMs = HashMap<String, Long>()
+    private val startedJobs = HashSet<String>()
+    private val lastAnsweredMs = HashMap<String, Long>()
 
-    /** When each task first had its image and ran, by name. */
-    private val startedAt = HashMap<String, Long>()
+    /** When each task first started to run (with its image fetched), by name. */
+    private val taskStartedMs = HashMap<String, Long>()
 
-    /** How long each task of [team] that has begun had waited since its job was accepted. */
-    fun waitsMs(team: String): List<Long> = startedAt.mapNotNull { (name, at) ->
+    /** The time from the acceptance of the job to the first start of the task, for each started task of [team]. */
+    fun taskWaitsMs(team: String): List<Long> = taskStartedMs.mapNotNull { (name, at) ->
         val job = name.substringBefore('/')
-        acceptedAt[job]?.takeIf { spec(job).team == team }?.let { at - it }
+        acceptedMs[job]?.takeIf { spec(job).team == team }?.let { at - it }
     }
 
-    /** Since when each job waits although a machine that fits has room and its team is under its limit. */
-    private val roomySince = HashMap<String, Long>()
+    /** Since when each job waits although a machine could run one of its tasks and its team is below its limit. */
+    private val placeableSinceMs = HashMap<String, Long>()
 
     fun spec(id: String): JobSpec = specs.getValue(id)
 
-    /** What the user was told last. */
-    fun told(id: String): JobState? = told[id]
+    /** The state in the last answer to the user, or null if there was none. */
+    fun lastReportedState(id: String): JobState? = lastReportedState[id]
 
-    fun isOver(id: String): Boolean = told[id] in FINAL_STATES
+    fun isTerminal(id: String): Boolean = lastReportedState[id] in FINAL_STATES
 
-    fun isAccepted(id: String): Boolean = id in acceptedAt
+    fun isAccepted(id: String): Boolean = id in acceptedMs
 
-    fun isCancelled(id: String): Boolean = id in cancelledAt
+    fun isCancelled(id: String): Boolean = id in cancellationReportedMs
 
-    fun allOver(): Boolean = specs.isNotEmpty() && specs.keys.all(::isOver)
+    fun allTerminal(): Boolean = specs.isNotEmpty() && specs.keys.all(::isTerminal)
 
-    fun open(): List<String> = specs.keys.filterNot(::isOver)
+    fun nonTerminalJobs(): List<String> = specs.keys.filterNot(::isTerminal)
 
-    fun accepted(spec: JobSpec) {
-        acceptedAt[spec.id] = nowMs()
+    fun onAccepted(spec: JobSpec) {
+        acceptedMs[spec.id] = nowMs()
     }
 
-    /** A final refusal of what the user is sure can run. */
-    fun refused(spec: JobSpec, status: Int) {
-        if (status in listOf(400, 422)) broken.add("forgotten: ${spec.id} refused with $status")
+    /** Called when the submission of a valid job gets [status]; 400 and 422 are final and violate a rule. */
+    fun onRefused(spec: JobSpec, status: Int) {
+        if (status in listOf(400, 422)) violations.add("forgotten: ${spec.id} refused with $status")
     }
 
-    /** The state service holds another value for a key than before: a job's final state is never changed. */
-    fun overwritten(key: String, before: JsonElement, after: JsonElement) {
+    /** Called when the stored value of [key] is replaced: the terminal state of a job must never change. */
+    fun onOverwrite(key: String, before: JsonElement, after: JsonElement) {
         if (!key.startsWith(StoreKeys.JOBS)) return
         val final = decodeRecord(JobRecord.serializer(), before).terminalState ?: return
         val now = decodeRecord(JobRecord.serializer(), after).terminalState
-        if (now != final) broken.add("went_back: $key is stored as $final, then as $now")
+        if (now != final) violations.add("went_back: $key is stored as $final, then as $now")
     }
 
-    /** An answer other than 503 about an accepted job, whose user was told [before] when it was asked. */
-    fun answered(spec: JobSpec, response: HttpResponse, before: JobState?) {
-        answeredAt[spec.id] = nowMs()
+    /**
+     * Called for each answer other than 503 about an accepted job. [before] is the last state reported to the user when
+     * the request was sent, or null if there was none.
+     */
+    fun onAnswered(spec: JobSpec, response: HttpResponse, before: JobState?) {
+        lastAnsweredMs[spec.id] = nowMs()
         if (response.status !in 200..201) {
-            broken.add("forgotten: ${spec.id} got ${response.status}")
+            violations.add("forgotten: ${spec.id} got ${response.status}")
             return
         }
         val state = WireJson.decodeFromString(JobStatus.serializer(), response.body.decodeToString()).state
         checkState(spec, state, before)
-        if (!isOver(spec.id)) told[spec.id] = state
+        if (!isTerminal(spec.id)) lastReportedState[spec.id] = state
     }
 
     private fun checkState(spec: JobSpec, state: JobState, before: JobState?) {
-        if (before in FINAL_STATES && before != state) broken.add("went_back: ${spec.id} $before -> $state")
-        val last = told[spec.id]
+        if (before in FINAL_STATES && before != state) violations.add("went_back: ${spec.id} $before -> $state")
+        val last = lastReportedState[spec.id]
         if (before != last && last in FINAL_STATES && state in FINAL_STATES && state != last) {
-            broken.add("went_back: ${spec.id} is $last and $state")
+            violations.add("went_back: ${spec.id} is $last and $state")
         }
         when (state) {
             JobState.CANCELLED -> {
-                val byUser = spec.id in asked || ancestors(spec).any { it in asked }
-                if (!byUser) broken.add("went_back: ${spec.id} cancelled by nobody")
-                cancelledAt.putIfAbsent(spec.id, nowMs())
+                val byUser = spec.id in cancellationRequested || ancestors(spec).any { it in cancellationRequested }
+                if (!byUser) violations.add("went_back: ${spec.id} is cancelled without a request")
+                cancellationReportedMs.putIfAbsent(spec.id, nowMs())
             }
 
             JobState.QUEUED, JobState.RUNNING -> {
-                val since = ancestors(spec).mapNotNull { cancelledAt[it] }.minOrNull()
-                if (since != null && nowMs() - since > CANCEL_MS) broken.add("orphaned: ${spec.id} is called $state")
+                val since = ancestors(spec).mapNotNull { cancellationReportedMs[it] }.minOrNull()
+                if (since != null && nowMs() - since > CANCEL_MS) violations.add("orphaned: ${spec.id} is $state")
             }
 
             JobState.DONE -> {
-                val missing = (0 until spec.tasks).any { "${spec.id}/$it" !in completed }
-                if (missing) broken.add("not_done: ${spec.id}")
+                val missing = (0 until spec.tasks).any { "${spec.id}/$it" !in completedTasks }
+                if (missing) violations.add("not_done: ${spec.id}")
             }
         }
     }
 
-    /** All that a job needs, directly or through others. */
+    /** The ids of all direct and transitive dependencies of a job. */
     private fun ancestors(spec: JobSpec): Set<String> {
         val found = LinkedHashSet<String>()
         val walk = ArrayDeque(listOf(spec))
@@ -144,104 +153,112 @@
         return found
     }
 
-    /** Whether the completion of task [name] was the last of its job. */
-    fun completed(name: String, spec: JobSpec): Boolean {
-        val isLast = completed.add(name) && isWhole(spec.id)
-        if (isLast) wholeAt[spec.id] = nowMs()
+    /** Records the completion of task [name]; returns whether it was the last incomplete task of its job. */
+    fun onTaskCompleted(name: String, spec: JobSpec): Boolean {
+        val isLast = completedTasks.add(name) && isCompleted(spec.id)
+        if (isLast) jobCompletedMs[spec.id] = nowMs()
         return isLast
     }
 
-    /** All tasks of the job have completed. */
-    private fun isWhole(id: String): Boolean =
-        specs[id]?.let { spec -> (0 until spec.tasks).all { "$id/$it" in completed } } ?: false
+    /** Whether all tasks of the job have completed. */
+    private fun isCompleted(id: String): Boolean =
+        specs[id]?.let { spec -> (0 until spec.tasks).all { "$id/$it" in completedTasks } } ?: false
 
-    /** Task [name] starts on [worker]. */
-    fun starting(worker: SimulatedWorker, name: String, spec: JobSpec) {
+    /** Called when task [name] starts on [worker]. */
+    fun onTaskStart(worker: SimulatedWorker, name: String, spec: JobSpec) {
         starts++
-        startedAt.putIfAbsent(name, nowMs())
-        checkTimes(name, spec)
-        checkPlace(worker, name, spec)
-        val limit = limits.getValue(spec.team)
+        taskStartedMs.putIfAbsent(name, nowMs())
+        checkTiming(name, spec)
+        checkPlacement(worker, name, spec)
+        val limit = coreLimits.getValue(spec.team)
         val used = usedCores(spec.team)
-        if (limit > 0 && used + spec.cores > limit + 1e-6) broken.add("quota: ${spec.team} uses ${used + spec.cores}")
+        if (limit > 0 && used + spec.cores > limit + 1e-6) violations.add("quota: ${spec.team}: ${used + spec.cores}")
     }
 
-    private fun checkTimes(name: String, spec: JobSpec) {
+    private fun checkTiming(name: String, spec: JobSpec) {
         val awaited = spec.dependencies.orEmpty()
-        val readyMs = (awaited.mapNotNull(wholeAt::get) + listOfNotNull(acceptedAt[spec.id])).maxOrNull() ?: nowMs()
+        val readyMs =
+            (awaited.mapNotNull(jobCompletedMs::get) + listOfNotNull(acceptedMs[spec.id])).maxOrNull() ?: nowMs()
         val waitedMs = nowMs() - readyMs
-        if (began.add(spec.id) && waitedMs > BEGIN_MS) {
-            broken.add("${spec.id} with ${spec.tasks} tasks began after $waitedMs ms")
+        if (startedJobs.add(spec.id) && waitedMs > START_LIMIT_MS) {
+            violations.add("${spec.id} with ${spec.tasks} tasks started only after $waitedMs ms")
         }
-        val open = awaited.filterNot(::isWhole)
-        if (open.isNotEmpty()) broken.add("too_early: $name starts before $open")
-        val cancelledMs = cancelledAt[spec.id] ?: return
+        val incomplete = awaited.filterNot(::isCompleted)
+        if (incomplete.isNotEmpty()) violations.add("too_early: $name starts before $incomplete")
+        val cancelledMs = cancellationReportedMs[spec.id] ?: return
         startsAfterCancel++
-        if (nowMs() - cancelledMs > CANCEL_MS) broken.add("ran_cancelled: $name starts")
+        if (nowMs() - cancelledMs > CANCEL_MS) violations.add("ran_cancelled: $name starts")
     }
 
-    private fun checkPlace(worker: SimulatedWorker, name: String, spec: JobSpec) {
-        val elsewhere = workers().filter { it !== worker && name in it.holding() }
-        if (elsewhere.isNotEmpty()) broken.add("ran_twice: $name on ${worker.id} and ${elsewhere.map { it.id }}")
-        if (worker.spot && !spec.spot) broken.add("wrong_place: $name on spot machine ${worker.id}")
-        if (spec.zone != null && spec.zone != worker.zone) broken.add("wrong_place: $name in ${worker.zone}")
+    private fun checkPlacement(worker: SimulatedWorker, name: String, spec: JobSpec) {
+        val elsewhere = workers().filter { it !== worker && name in it.runningTasks() }
+        if (elsewhere.isNotEmpty()) violations.add("ran_twice: $name on ${worker.id} and ${elsewhere.map { it.id }}")
+        if (worker.spot && !spec.spot) violations.add("wrong_place: $name on spot machine ${worker.id}")
+        if (spec.zone != null && spec.zone != worker.zone) violations.add("wrong_place: $name in ${worker.zone}")
         val sameJob = workers().flatMap { other ->
-            other.holding().values.filter { it.job == spec.id }.map { other.zone }
+            other.runningTasks().values.filter { it.job == spec.id }.map { other.zone }
         }
         if (spec.sameZone && sameJob.any { it != worker.zone }) {
-            broken.add("wrong_place: $name in ${worker.zone}, others in $sameJob")
+            violations.add("wrong_place: $name in ${worker.zone}, others in $sameJob")
         }
         if (spec.spreadAcrossZones && sameJob.count { it == worker.zone } + 1 > spec.maxTasksPerZone) {
-            broken.add("wrong_place: too many of ${spec.id} in ${worker.zone}")
+            violations.add("wrong_place: too many of ${spec.id} in ${worker.zone}")
         }
     }
 
-    private fun usedCores(team: String): Double =
-        workers().flatMap { it.holding().values }.map { spec(it.job) }.filter { it.team == team }.sumOf { it.cores }
+    private fun usedCores(team: String): Double = workers().flatMap { it.runningTasks().values }
+        .map { spec(it.job) }
+        .filter { it.team == team }
+        .sumOf { it.cores }
 
-    /** Looks for cancelled work that is still on a machine, and for jobs that wait or about which nobody is answered. */
+    /**
+     * Checks for cancelled tasks that still run and, once the faults are cleared, for jobs that starve or about which
+     * no request is answered.
+     */
     fun inspect() {
         for (worker in workers()) {
-            for ((name, task) in worker.holding()) {
-                val at = cancelledAt[task.job] ?: continue
-                if (nowMs() - at > CANCEL_MS) broken.add("ran_cancelled: $name on ${worker.id}")
+            for ((name, task) in worker.runningTasks()) {
+                val at = cancellationReportedMs[task.job] ?: continue
+                if (nowMs() - at > CANCEL_MS) violations.add("ran_cancelled: $name on ${worker.id}")
             }
         }
-        if (overMs == Long.MAX_VALUE) return
-        for ((id, at) in acceptedAt) {
-            if (isOver(id)) continue
-            val silentMs = nowMs() - maxOf(overMs, at, answeredAt[id] ?: 0)
-            if (silentMs > FORGOTTEN_MS) broken.add("forgotten: no question about $id was answered for $silentMs ms")
+        if (faultsClearedMs == Long.MAX_VALUE) return
+        for ((id, at) in acceptedMs) {
+            if (isTerminal(id)) continue
+            val unansweredMs = nowMs() - maxOf(faultsClearedMs, at, lastAnsweredMs[id] ?: 0)
+            if (unansweredMs > UNANSWERED_LIMIT_MS) violations.add("forgotten: $id got no answer for $unansweredMs ms")
         }
-        val shown = workers().flatMapTo(HashSet()) { it.shown() }
-        for (spec in specs.values) lookForRoom(spec, shown)
+        val activeTasks = workers().flatMapTo(HashSet()) { it.activeTasks() }
+        for (spec in specs.values) checkStarvation(spec, activeTasks)
     }
 
-    /** Nothing may wait for 90 s while a machine that fits has room and its team is under its limit. */
-    private fun lookForRoom(spec: JobSpec, shown: Set<String>) {
+    /** No job may wait for 90 s while a machine could run one of its tasks and its team is below its limit. */
+    private fun checkStarvation(spec: JobSpec, activeTasks: Set<String>) {
         val id = spec.id
-        if (!waits(spec, shown) || !hasRoom(spec)) {
-            roomySince.remove(id)
-        } else if (nowMs() - roomySince.getOrPut(id) { nowMs() } > STARVED_MS) {
-            broken.add("starved: $id waits though there is room")
+        if (!hasPlaceableTask(spec, activeTasks) || !fitsOnAMachine(spec)) {
+            placeableSinceMs.remove(id)
+        } else if (nowMs() - placeableSinceMs.getOrPut(id) { nowMs() } > STARVATION_LIMIT_MS) {
+            violations.add("starved: $id waits although a machine has capacity")
         }
     }
 
-    private fun waits(spec: JobSpec, shown: Set<String>): Boolean {
-        if (isOver(spec.id) || !isAccepted(spec.id) || !spec.dependencies.orEmpty().all(::isWhole)) return false
-        return (0 until spec.tasks).map { "${spec.id}/$it" }.any { it !in completed && it !in shown }
+    /** Whether the job is ready to run and has a task that is neither completed nor in [activeTasks]. */
+    private fun hasPlaceableTask(spec: JobSpec, activeTasks: Set<String>): Boolean {
+        if (isTerminal(spec.id) || !isAccepted(spec.id) || !spec.dependencies.orEmpty().all(::isCompleted)) return false
+        return (0 until spec.tasks).map { "${spec.id}/$it" }.any { it !in completedTasks && it !in activeTasks }
     }
 
-    private fun hasRoom(spec: JobSpec): Boolean {
-        val limit = limits.getValue(spec.team)
+    private fun fitsOnAMachine(spec: JobSpec): Boolean {
+        val limit = coreLimits.getValue(spec.team)
         val underLimit = limit <= 0 || usedCores(spec.team) + spec.cores <= limit
-        return underLimit && workers().any { it.sound && it.freeCores >= spec.cores && allowed(spec, it) }
+        return underLimit &&
+            workers().any { it.isHealthy && it.freeCores >= spec.cores && satisfiesPlacement(spec, it) }
     }
 
-    private fun allowed(spec: JobSpec, worker: SimulatedWorker): Boolean {
+    private fun satisfiesPlacement(spec: JobSpec, worker: SimulatedWorker): Boolean {
         if ((worker.spot && !spec.spot) || (spec.zone != null && spec.zone != worker.zone)) return false
         val zones = workers().flatMap { other ->
-            other.shown().filter { it.startsWith("${spec.id}/") }.map { other.zone }
+            other.activeTasks().filter { it.startsWith("${spec.id}/") }.map { other.zone }
         }
         return !(spec.sameZone && zones.any { it != worker.zone }) &&
             !(spec.spreadAcrossZones && zones.count { it == worker.zone } + 1 > spec.maxTasksPerZone)
--- a/src/test/kotlin/io/otterknot/testing/SimulatedCluster.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedCluster.kt
@@ -32,17 +32,20 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import kotlin.random.Random
 
-/** Three controllers, their workers, users, cloud and state service, on virtual time, and the faults they meet. */
+/**
+ * Three controllers with their workers, users, cloud and state service, on virtual time. Faults are injected through
+ * its functions and properties.
+ */
 class SimulatedCluster(
     val scope: CoroutineScope,
     seed: Long,
     val nowMs: () -> Long,
     teamLimit: Double = 0.0,
-    /** How many machines of each kind a zone has. */
+    /** How many machines of each kind (spot or not) the cloud has in a zone. */
     capacity: Int = 4,
-    /** The changes a second that controllers are told they may make together. */
+    /** The changes per second that all controllers may write together, by their settings. */
     private val changesPerS: Double = 300.0,
-    /** What the operators have switched on. */
+    /** The operator settings of all controllers; they can be changed while the controllers run. */
     var operators: OperatorSettings = OperatorSettings(),
     private val teams: List<TeamSettings> = listOf(TeamSettings("red", cpusMax = teamLimit), TeamSettings("blue")),
 ) {
@@ -53,74 +56,76 @@
     private val limits = teams.associate { it.name to it.cpusMax }
     private val cloud: FakeCloud =
         FakeCloud(zones, capacity, nowMs) { id, zone, spot -> SimulatedWorker(this, id, zone, spot) }
-    val rules = SafetyChecks(nowMs, limits) { cloud.workers }
-    private val users = SimulatedUsers(scope, random, nowMs, nodes, rules, ::ask)
-    private val running = HashMap<String, Job>()
+    val checks = SafetyChecks(nowMs, limits) { cloud.workers }
+    private val users = SimulatedUsers(scope, random, nowMs, nodes, checks, ::sendRequest)
+    private val nodeJobs = HashMap<String, Job>()
 
     init {
-        state.onOverwrite = rules::overwritten
+        state.onOverwrite = checks::onOverwrite
     }
 
     private val controllers = HashMap<String, Controller>()
     private val dispatchers = nodes.associateWith { SimulatedNodeDispatcher.of(scope) }
 
-    // ---- faults and other circumstances
+    // ---- faults and other conditions
 
-    /** Share of reports whose answer does not come back. */
-    var lostAnswers = 0.0
+    /** Share of worker reports whose answer is lost. */
+    var lostReportAnswerShare = 0.0
 
-    /** How long answers to workers take at the most. */
-    var answerMs = 0L
+    /** The longest random delay of an answer to a worker. */
+    var maxAnswerDelayMs = 0L
 
-    /** Share of reports of which a copy comes in once more, seconds to well over a lease late, at some node. */
-    var copies = 0.0
+    /** Share of worker reports that arrive a second time, 1 s to 2.5 leases late, at the same or a random node. */
+    var duplicateReportShare = 0.0
 
-    /** Nodes whose packets to and from workers are held back. */
-    val cutNodes = HashSet<String>()
+    /** Nodes whose traffic with workers is held back until they are removed from this set. */
+    val nodesCutFromWorkers = HashSet<String>()
 
-    /** Nodes that other controllers do not reach, and that reach no other. */
-    val peerless = HashSet<String>()
+    /** Nodes that have no connection to other controllers, in either direction. */
+    val nodesWithoutPeers = HashSet<String>()
 
-    /** A zone cut off from everything outside it: its node is, and its machines reach no other. */
-    private var cutZone: String? = null
+    /** The zone whose node and machines reach nothing outside the zone, or null. */
+    private var isolatedZone: String? = null
 
-    /** The limits of the state service that nodes are told will come. */
-    var next = AnnouncedStoreLimits()
+    /** The limits of the state service that the settings of started nodes announce. */
+    var announcedLimits = AnnouncedStoreLimits()
 
-    /** Nodes that run the version before this one, as far as what is stored goes: see [ProductionVersionTransport]. */
-    val old = HashSet<String>()
+    /** Nodes that access stored data as the version in production does: see [ProductionVersionTransport]. */
+    val previousVersionNodes = HashSet<String>()
 
-    /** Run times of single tasks, where they differ from the rest of their job. */
-    val runS = HashMap<String, Double>()
+    /** Run times in seconds of tasks that differ from the estimate of their job, by task name. */
+    val taskRunS = HashMap<String, Double>()
 
-    /** Called when the last task of a job has completed. */
-    var onLastEnd: (JobSpec) -> Unit = {}
+    /** Called when the last task of a job completes on its machine. */
+    var onJobCompleted: (JobSpec) -> Unit = {}
 
-    var cloudAway: Boolean by cloud::away
+    var cloudUnavailable: Boolean by cloud::unavailable
 
-    /** Cuts [zone] off; null: the one that is cut off comes back. */
-    fun cut(zone: String?) {
-        val node = "holt-${cutZone ?: zone}"
-        if (zone == null) peerless.remove(node) else peerless.add(node)
-        state.refusedFor = zone?.let { "holt-$it" }
-        cutZone = zone
+    /** Isolates [zone] from everything outside it; null reconnects the isolated zone. */
+    fun isolateZone(zone: String?) {
+        val node = "holt-${isolatedZone ?: zone}"
+        if (zone == null) nodesWithoutPeers.remove(node) else nodesWithoutPeers.add(node)
+        state.refusedNode = zone?.let { "holt-$it" }
+        isolatedZone = zone
     }
 
-    /** Packets between a machine of [zone] and a node are held back. */
-    fun isHeld(zone: String, node: String): Boolean = node in cutNodes || (zone == cutZone) != (node == "holt-$cutZone")
+    /** Whether traffic between the machines of [zone] and [node] is held back. */
+    fun isHeldBack(zone: String, node: String): Boolean =
+        node in nodesCutFromWorkers || (zone == isolatedZone) != (node == "holt-$isolatedZone")
 
     // ---- controllers
 
     fun startNode(label: String) {
-        if (label in running) return
+        if (label in nodeJobs) return
         val settings = settings(label)
-        val link = if (label in old) ProductionVersionTransport(state.link(label)) else state.link(label)
+        val link =
+            if (label in previousVersionNodes) ProductionVersionTransport(state.link(label)) else state.link(label)
         val peers = settings.members.associate { it.label to peer(label, it.label) }
         val links = ControllerTransports(link, link, cloud, peers)
-        // A version before load spread knows nothing of the operators' file.
-        val known = { if (label in old) OperatorSettings() else operators }
+        // The version in production is older than load spread and does not read the operators' file.
+        val known = { if (label in previousVersionNodes) OperatorSettings() else operators }
         val controller = Controller(settings, links, Random(random.nextLong()), nowMs, nowMs, known)
-        running[label] = scope.launch(dispatchers.getValue(label)) {
+        nodeJobs[label] = scope.launch(dispatchers.getValue(label)) {
             controllers[label] = controller
             controller.run()
         }
@@ -133,7 +138,7 @@
             teams = teams,
             objectives = listOf(ObjectiveSettings("wait", "urgent", 8.0, 0.9)),
             workers = WorkerSettings(0.8, LEASE_S, CANCEL_S),
-            state = StoreSettings(600.0, changesPerS, 8.0, 40, next),
+            state = StoreSettings(600.0, changesPerS, 8.0, 40, announcedLimits),
             cloud = CloudSettings(30.0, 1.0),
         )
         return Settings(
@@ -148,33 +153,33 @@
     }
 
     private fun peer(from: String, to: String) = PeerTransport { message, timeoutMs ->
-        if (from in peerless || to in peerless) return@PeerTransport null
+        if (from in nodesWithoutPeers || to in nodesWithoutPeers) return@PeerTransport null
         serve(to, timeoutMs) { it.handlePeerRequest(message) }
     }
 
     /**
-     * What [node] makes of a request, unless it ends meanwhile or takes too long. It goes on with a request whose sender
-     * has given up.
+     * Runs [handle] on [node] and returns its result, or null if the node crashes meanwhile or takes longer than
+     * [limitMs]. After a timeout the node continues to handle the request.
      */
     private suspend fun <T : Any> serve(node: String, limitMs: Long, handle: suspend (Controller) -> T): T? {
         val controller = controllers[node] ?: return null
         val answer = CompletableDeferred<T?>()
-        CoroutineScope(scope.coroutineContext + dispatchers.getValue(node) + running.getValue(node))
+        CoroutineScope(scope.coroutineContext + dispatchers.getValue(node) + nodeJobs.getValue(node))
             .launch { answer.complete(handle(controller)) }
             .invokeOnCompletion { answer.complete(null) }
         return withTimeoutOrNull(limitMs) { answer.await() }
     }
 
-    /** The node gets no turn for so long, while its clocks run on. */
+    /** Suspends all coroutines of the node for [ms] while its clocks go on. */
     fun pause(label: String, ms: Long) = dispatchers.getValue(label).pause(ms)
 
     fun controller(label: String): Controller = controllers.getValue(label)
 
-    /** How many moves of [kind] have ended in [state], at the controllers that run now. */
+    /** The number of moves of [kind] that have ended in [state], at the controllers that run now. */
     fun moveEnds(kind: MoveKind, state: MoveState): Int = controllers.values.sumOf { it.moveEnds()[kind to state] ?: 0 }
 
     fun crash(label: String) {
-        running.remove(label)?.cancel()
+        nodeJobs.remove(label)?.cancel()
         controllers.remove(label)
     }
 
@@ -183,8 +188,14 @@
         startNode(label)
     }
 
-    /** What a node answers, unless it ends meanwhile or takes too long. */
-    suspend fun ask(label: String, method: String, path: String, body: ByteArray, limitMs: Long): HttpResponse? {
+    /** Sends a request to a node; returns null if it is down, crashes meanwhile or takes longer than [limitMs]. */
+    suspend fun sendRequest(
+        label: String,
+        method: String,
+        path: String,
+        body: ByteArray,
+        limitMs: Long,
+    ): HttpResponse? {
         val controller = controllers[label] ?: return null
         delay(1 + random.nextLong(5))
         val answer = serve(label, limitMs) { it.handleRequest(HttpRequest(method, path, body)) }
@@ -192,8 +203,8 @@
         return answer.takeIf { controllers[label] === controller }
     }
 
-    /** Who owns which partition, as the state service says. */
-    fun owners(): Map<String, String> = zones.mapNotNull { zone ->
+    /** The leader of each partition that has one, as stored in the state service. */
+    fun partitionLeaders(): Map<String, String> = zones.mapNotNull { zone ->
         state.value(StoreKeys.partition(zone))?.let { zone to decodeRecord(LeaderRecord.serializer(), it).leader }
     }.toMap()
 
@@ -203,8 +214,8 @@
 
     fun boot(zone: String, spot: Boolean): SimulatedWorker = cloud.boot(zone, spot)
 
-    /** The cloud takes a machine back without a notice. */
-    fun take(worker: SimulatedWorker) = cloud.take(worker.id)
+    /** The cloud terminates a machine without notice. */
+    fun reclaim(worker: SimulatedWorker) = cloud.reclaim(worker.id)
 
     // ---- users
 
@@ -212,7 +223,7 @@
         id: Int,
         tasks: Int,
         runS: Double = 4.0,
-        kind: String = "urgent",
+        jobClass: String = "urgent",
         priority: Priority = Priority.HIGH,
         spot: Boolean = true,
         cores: Double = 2.0,
@@ -220,7 +231,7 @@
         team: String = if (id % 2 == 0) "red" else "blue",
     ) = JobSpec(
         id = "j-%06d".format(id),
-        jobClass = kind,
+        jobClass = jobClass,
         team = team,
         priority = priority,
         tasks = tasks,
@@ -237,10 +248,10 @@
 
     fun body(spec: JobSpec): ByteArray = submissionBody(spec)
 
-    /** A test submits it by itself. */
-    fun expect(spec: JobSpec): JobSpec = spec.also { rules.specs[it.id] = it }
+    /** Registers a job with the safety checks that the test submits itself. */
+    fun registerJob(spec: JobSpec): JobSpec = spec.also { checks.specs[it.id] = it }
 
-    fun user(spec: JobSpec, cancelAfterMs: Long? = null) = users.user(spec, cancelAfterMs)
+    fun startUser(spec: JobSpec, cancelAfterMs: Long? = null) = users.startUser(spec, cancelAfterMs)
 
     fun cancel(spec: JobSpec) = users.cancel(spec)
 
@@ -248,35 +259,37 @@
 
     fun submitAgain(spec: JobSpec) = users.submitAgain(spec)
 
-    /** Users call off, within a moment, so many jobs that run; as long as no node confirms it, they ask again. */
-    fun cancelNow(count: Int): List<JobSpec> {
-        val running = cloud.workers.flatMap { it.holding().values }.map { it.job }.distinct()
-        val chosen = running.filter { rules.told(it) != JobState.DONE && it !in rules.asked }.take(count)
-        return chosen.map { id -> rules.spec(id).also { cancel(it) } }
+    /** Users cancel up to [count] running jobs at the same time and retry until a node confirms it. */
+    fun cancelRunning(count: Int): List<JobSpec> {
+        val running = cloud.workers.flatMap { it.runningTasks().values }.map { it.job }.distinct()
+        val chosen = running
+            .filter { checks.lastReportedState(it) != JobState.DONE && it !in checks.cancellationRequested }
+            .take(count)
+        return chosen.map { id -> checks.spec(id).also { cancel(it) } }
     }
 
-    suspend fun balance() = users.balance()
+    suspend fun runLoadBalancer() = users.runLoadBalancer()
 
-    /** How often the load balancer has taken a node out. */
+    /** How often the load balancer has taken [node] out of rotation. */
     fun removals(node: String): Int = users.removals(node)
 
-    suspend fun stranger(id: String) = users.stranger(id)
+    suspend fun pollUnknownJob(id: String) = users.pollUnknownJob(id)
 
-    var closeLooks: Boolean by users::closeLooks
+    var requestBursts: Boolean by users::requestBursts
 
-    // ---- rules
+    // ---- safety checks
 
-    val broken: MutableList<String> get() = rules.broken
-    val starts: Int get() = rules.starts
-    val startsAfterCancel: Int get() = rules.startsAfterCancel
+    val violations: MutableList<String> get() = checks.violations
+    val starts: Int get() = checks.starts
+    val startsAfterCancel: Int get() = checks.startsAfterCancel
 
-    fun inspect() = rules.inspect()
+    fun inspect() = checks.inspect()
 
-    fun troublesOver() {
-        rules.overMs = nowMs()
+    fun faultsCleared() {
+        checks.faultsClearedMs = nowMs()
     }
 
-    fun allOver(): Boolean = rules.allOver()
+    fun allTerminal(): Boolean = checks.allTerminal()
 
-    fun open(): List<String> = rules.open()
+    fun nonTerminalJobs(): List<String> = checks.nonTerminalJobs()
 }
--- a/src/test/kotlin/io/otterknot/testing/SimulatedNodeDispatcher.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedNodeDispatcher.kt
@@ -9,8 +9,8 @@
 import kotlin.coroutines.CoroutineContext
 
 /**
- * Runs the coroutines of one node on the virtual time of [scope]. While the node is paused none of them gets a turn, as
- * in a process that has used up its share of the processor: its clocks and everything around it go on.
+ * Runs the coroutines of one node on the virtual time of [scope]. While the node is paused none of them runs, as in a
+ * process whose CPU quota is used up; its clocks and all other nodes go on.
  */
 @OptIn(InternalCoroutinesApi::class)
 class SimulatedNodeDispatcher private constructor(
@@ -19,13 +19,13 @@
     timers: Delay,
 ) : CoroutineDispatcher(),
     Delay by timers {
-    private class Held(val context: CoroutineContext, val block: Runnable)
+    private class DeferredBlock(val context: CoroutineContext, val block: Runnable)
 
-    private val held = ArrayList<Held>()
+    private val deferredBlocks = ArrayList<DeferredBlock>()
     private var pauses = 0
 
     override fun dispatch(context: CoroutineContext, block: Runnable) {
-        if (pauses > 0) held.add(Held(context, block)) else dispatcher.dispatch(context, block)
+        if (pauses > 0) deferredBlocks.add(DeferredBlock(context, block)) else dispatcher.dispatch(context, block)
     }
 
     fun pause(ms: Long) {
@@ -33,9 +33,9 @@
         scope.launch {
             kotlinx.coroutines.delay(ms)
             if (--pauses > 0) return@launch
-            val due = held.toList()
-            held.clear()
-            due.forEach { dispatcher.dispatch(it.context, it.block) }
+            val resumedBlocks = deferredBlocks.toList()
+            deferredBlocks.clear()
+            resumedBlocks.forEach { dispatcher.dispatch(it.context, it.block) }
         }
     }
 
--- a/src/test/kotlin/io/otterknot/testing/SimulatedUsers.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedUsers.kt
@@ -12,7 +12,7 @@
 import kotlinx.serialization.json.put
 import kotlin.random.Random
 
-/** The body of a submission. */
+/** The request body of the submission of [spec]. */
 fun submissionBody(spec: JobSpec): ByteArray {
     val plain = WireJson.encodeToJsonElement(JobSpec.serializer(), spec) as JsonObject
     val fields = buildJsonObject {
@@ -22,14 +22,17 @@
     return fields.toString().encodeToByteArray()
 }
 
-/** Users behind a load balancer: they submit until they are accepted, poll until the end, and cancel. */
+/**
+ * Users whose requests go through a load balancer: they retry each submission until it is accepted, poll the job, and
+ * cancel some jobs. Every answer is passed to the safety checks.
+ */
 class SimulatedUsers(
     private val scope: CoroutineScope,
     private val random: Random,
     private val nowMs: () -> Long,
     private val nodes: List<String>,
-    private val rules: SafetyChecks,
-    private val ask: suspend (
+    private val checks: SafetyChecks,
+    private val sendRequest: suspend (
         node: String,
         method: String,
         path: String,
@@ -37,13 +40,13 @@
         limitMs: Long,
     ) -> HttpResponse?,
 ) {
-    // ---- the balancer: it probes the nodes, and resets connections to one that has been unhealthy for long
+    // ---- load balancer: probes the nodes; resets the connections to a node that has been unhealthy for over 5 s
 
     private val failedProbes = HashMap<String, Int>()
     private val unhealthySince = HashMap<String, Long>()
     private val removals = HashMap<String, Int>()
 
-    suspend fun balance() {
+    suspend fun runLoadBalancer() {
         while (true) {
             delay(1_000)
             nodes.forEach { probe(it) }
@@ -51,9 +54,9 @@
     }
 
     private suspend fun probe(node: String) {
-        val good = ask(node, "GET", "/ready", ByteArray(0), 1_000)?.status == 200
-        failedProbes[node] = if (good) 0 else (failedProbes[node] ?: 0) + 1
-        if (good) {
+        val isHealthy = sendRequest(node, "GET", "/ready", ByteArray(0), 1_000)?.status == 200
+        failedProbes[node] = if (isHealthy) 0 else (failedProbes[node] ?: 0) + 1
+        if (isHealthy) {
             unhealthySince.remove(node)
         } else if (failedProbes[node] == 2) {
             unhealthySince[node] = nowMs()
@@ -69,38 +72,41 @@
 
     // ---- users
 
-    /** Submits until some node accepts, then polls until the end; a cancelled one is withdrawn after a while. */
-    fun user(spec: JobSpec, cancelAfterMs: Long?) = scope.launch {
-        rules.specs[spec.id] = spec
+    /**
+     * Submits [spec] until a node accepts it, then polls it. If [cancelAfterMs] is not null, the user cancels the job
+     * that long after its acceptance.
+     */
+    fun startUser(spec: JobSpec, cancelAfterMs: Long?) = scope.launch {
+        checks.specs[spec.id] = spec
         val connection = Connection()
-        // Users name only jobs that were accepted.
-        while (spec.dependencies.orEmpty().any { !rules.isAccepted(it) }) delay(100)
+        // Users list only accepted jobs as dependencies.
+        while (spec.dependencies.orEmpty().any { !checks.isAccepted(it) }) delay(100)
         submit(spec, connection)
         val accepted = nowMs()
         while (true) {
             delay(500 + random.nextLong(2_000))
-            if (cancelAfterMs != null && nowMs() - accepted > cancelAfterMs) rules.asked.add(spec.id)
-            val withdraw = spec.id in rules.asked && !rules.isCancelled(spec.id)
-            val before = rules.told(spec.id)
+            if (cancelAfterMs != null && nowMs() - accepted > cancelAfterMs) checks.cancellationRequested.add(spec.id)
+            val withdraw = spec.id in checks.cancellationRequested && !checks.isCancelled(spec.id)
+            val before = checks.lastReportedState(spec.id)
             val response = if (withdraw) {
                 connection.request("POST", withdrawPath(spec), ByteArray(0), WRITE_WAIT_MS)
             } else {
                 connection.request("GET", path(spec), ByteArray(0), READ_WAIT_MS)
             }
-            if (response != null && response.status != 503) answered(spec, response, before)
+            if (response != null && response.status != 503) handleAnswer(spec, response, before)
         }
     }
 
     private suspend fun submit(spec: JobSpec, connection: Connection) {
         while (true) {
-            val before = rules.told(spec.id)
+            val before = checks.lastReportedState(spec.id)
             val response = connection.request("POST", "/submissions", submissionBody(spec), WRITE_WAIT_MS)
             if (response != null && response.status in 200..201) {
-                rules.accepted(spec)
-                answered(spec, response, before)
+                checks.onAccepted(spec)
+                handleAnswer(spec, response, before)
                 return
             }
-            if (response != null) rules.refused(spec, response.status)
+            if (response != null) checks.onRefused(spec, response.status)
             delay(1_000)
         }
     }
@@ -110,64 +116,68 @@
 
         suspend fun request(method: String, path: String, body: ByteArray, limitMs: Long): HttpResponse? {
             val node = connected?.takeUnless(::isReset) ?: connect()
-            val response = ask(node, method, path, body, limitMs)
+            val response = sendRequest(node, method, path, body, limitMs)
             connected = if (response == null || response.close) null else node
             return response
         }
     }
 
-    /** Asks any node until one confirms it. */
+    /** Requests the cancellation at random nodes until one confirms it. */
     fun cancel(spec: JobSpec) = scope.launch {
-        rules.asked.add(spec.id)
-        while (!rules.isOver(spec.id)) {
-            if (!askOnce(spec, "POST", withdrawPath(spec), ByteArray(0))) delay(400)
+        checks.cancellationRequested.add(spec.id)
+        while (!checks.isTerminal(spec.id)) {
+            if (!requestOnce(spec, "POST", withdrawPath(spec), ByteArray(0))) delay(400)
         }
     }
 
-    fun poll(spec: JobSpec) = scope.launch { askOnce(spec, "GET", path(spec), ByteArray(0)) }
+    fun poll(spec: JobSpec) = scope.launch { requestOnce(spec, "GET", path(spec), ByteArray(0)) }
 
-    fun submitAgain(spec: JobSpec) = scope.launch { askOnce(spec, "POST", "/submissions", submissionBody(spec)) }
+    fun submitAgain(spec: JobSpec) = scope.launch { requestOnce(spec, "POST", "/submissions", submissionBody(spec)) }
 
-    /** One request about an accepted job, to any node, whose answer must not be older than what was told before. */
-    private suspend fun askOnce(spec: JobSpec, method: String, path: String, body: ByteArray): Boolean {
-        val before = rules.told(spec.id)
-        // Some users are less patient and ask elsewhere.
+    /**
+     * Sends one request about an accepted job to a random node. Its answer must not be older than an answer that was
+     * given before the request. Returns whether there was an answer other than 503.
+     */
+    private suspend fun requestOnce(spec: JobSpec, method: String, path: String, body: ByteArray): Boolean {
+        val before = checks.lastReportedState(spec.id)
+        // Some users have a shorter timeout and retry at another node.
         val limitMs = if (method == "GET" || random.nextInt(3) == 0) READ_WAIT_MS else WRITE_WAIT_MS
-        val response = ask(connect(), method, path, body, limitMs) ?: return false
+        val response = sendRequest(connect(), method, path, body, limitMs) ?: return false
         if (response.status == 503) return false
-        answered(spec, response, before)
+        handleAnswer(spec, response, before)
         return true
     }
 
-    // ---- close looks: users ask at all nodes, again and again, whenever they have learnt something of a job
+    // ---- request bursts: users send several requests to random nodes whenever a job is accepted or ends
 
-    var closeLooks = false
+    var requestBursts = false
 
-    /** Takes an answer to a request that was begun when users had been told [before]. */
-    private fun answered(spec: JobSpec, response: HttpResponse, before: JobState?) {
-        val known = rules.told(spec.id)
-        val wasOver = rules.isOver(spec.id)
-        rules.answered(spec, response, before)
-        val hasNews = (known == null && rules.told(spec.id) != null) || rules.isOver(spec.id) != wasOver
-        if (closeLooks && hasNews) lookClosely(spec)
+    /** Handles an answer to a request; [before] is the last state reported to users when the request was sent. */
+    private fun handleAnswer(spec: JobSpec, response: HttpResponse, before: JobState?) {
+        val known = checks.lastReportedState(spec.id)
+        val wasTerminal = checks.isTerminal(spec.id)
+        checks.onAnswered(spec, response, before)
+        val hasChanged =
+            (known == null && checks.lastReportedState(spec.id) != null) || checks.isTerminal(spec.id) != wasTerminal
+        if (requestBursts && hasChanged) sendRequestBurst(spec)
     }
 
-    /** Asks about the job, submits it or cancels it again, at any node and several times within milliseconds. */
-    private fun lookClosely(spec: JobSpec) = repeat(CLOSE_LOOKS) {
+    /** Polls, resubmits or cancels the job several times at random nodes within 400 ms. */
+    private fun sendRequestBurst(spec: JobSpec) = repeat(BURST_SIZE) {
         scope.launch {
-            delay(random.nextLong(CLOSE_LOOK_MS))
-            when (random.nextInt(if (spec.id in rules.asked) 5 else 4)) {
-                0, 1 -> askOnce(spec, "GET", path(spec), ByteArray(0))
-                2, 3 -> askOnce(spec, "POST", "/submissions", submissionBody(spec))
-                else -> askOnce(spec, "POST", withdrawPath(spec), ByteArray(0))
+            delay(random.nextLong(BURST_SPAN_MS))
+            when (random.nextInt(if (spec.id in checks.cancellationRequested) 5 else 4)) {
+                0, 1 -> requestOnce(spec, "GET", path(spec), ByteArray(0))
+                2, 3 -> requestOnce(spec, "POST", "/submissions", submissionBody(spec))
+                else -> requestOnce(spec, "POST", withdrawPath(spec), ByteArray(0))
             }
         }
     }
 
-    /** Somebody asks about a job that nobody has submitted. */
-    suspend fun stranger(id: String) {
-        val response = ask(nodes.random(random), "GET", "/submissions/$id", ByteArray(0), READ_WAIT_MS)
-        if (response?.status == 200) rules.broken.add("invented: $id")
+    /** Polls a job that was never submitted; a node that reports a state for it violates a rule. */
+    suspend fun pollUnknownJob(id: String) {
+        val response = sendRequest(nodes.random(random), "GET", "/submissions/$id", ByteArray(0), READ_WAIT_MS)
+        if (response?.status == 200) checks.violations.add("invented: $id")
     }
 
     private fun path(spec: JobSpec) = "/submissions/${spec.id}"
@@ -175,10 +185,10 @@
     private fun withdrawPath(spec: JobSpec) = "${path(spec)}/withdraw"
 
     private companion object {
-        /** How long users wait for an answer to a question, and to a submission or a cancellation. */
+        /** How long users wait for an answer: to a poll, and to a submission or a cancellation. */
         const val READ_WAIT_MS = 2_000L
         const val WRITE_WAIT_MS = 5_000L
-        const val CLOSE_LOOKS = 8
-        const val CLOSE_LOOK_MS = 400L
+        const val BURST_SIZE = 8
+        const val BURST_SPAN_MS = 400L
     }
 }
--- a/src/test/kotlin/io/otterknot/testing/SimulatedWorker.kt
+++ b/src/test/kotlin/io/otterknot/testing/SimulatedWorker.kt
@@ -13,176 +13,182 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 
-/** A task that is on a machine in some attempt. */
+/** One attempt of a task that runs on a machine. */
 class SimulatedTask(val job: String, val attempt: Long)
 
-/** The worker of one machine: it reports, keeps its lease, and carries out what answers say. */
+/** The worker of one machine: it sends reports, keeps its lease, and executes the commands in the answers. */
 class SimulatedWorker(private val cluster: SimulatedCluster, val id: String, val zone: String, val spot: Boolean) {
     private class Task(
         val job: String,
         val attempt: Long,
         var state: TaskState,
         var cause: ExitCause?,
-        var doneMs: Long,
+        var phaseEndsMs: Long,
     ) {
-        val isOver: Boolean get() = state == TaskState.EXITED
+        val isTerminal: Boolean get() = state == TaskState.EXITED
     }
 
     private val nowMs = cluster.nowMs
     private val random = cluster.random
-    private val rules = cluster.rules
-    val bornMs = nowMs()
-    private var session = 1L
+    private val checks = cluster.checks
+    val bootedMs = nowMs()
+    private var epoch = 1L
     private var seq = 0L
     private var token = 0L
-    private var answeredMs = bornMs
+    private var leaseRenewedMs = bootedMs
     private var node = cluster.nodes.random(random)
 
-    /** By task and attempt. */
+    /** By `TASK#ATTEMPT`. */
     private val tasks = LinkedHashMap<String, Task>()
     var hungUntilMs = 0L
-    var faulty = false
 
-    /** Its reports arrive, but no answer or command comes back. */
-    var unreached = false
+    /** Whether every task that it is sent fails. */
+    var failsTasks = false
 
-    /** It reaches no controller. */
-    var mute = false
+    /** Whether answers and commands to this worker are lost while its reports arrive. */
+    var inboundBlocked = false
 
-    /** It does what it is there for: what waits may count on it. */
-    val sound: Boolean get() = nowMs() > hungUntilMs && !unreached && !mute && !faulty && nowMs() - bornMs > 10_000
+    /** Whether its reports are lost. */
+    var outboundBlocked = false
 
-    val freeCores: Double get() = CORES - tasks.values.filterNot { it.isOver }.sumOf { rules.spec(it.job).cores }
+    /** Whether it can run waiting tasks: it is not affected by a fault and was booted more than 10 s ago. */
+    val isHealthy: Boolean get() = nowMs() > hungUntilMs && !inboundBlocked && !outboundBlocked && !failsTasks &&
+        nowMs() - bootedMs > 10_000
+
+    val freeCores: Double get() = CORES - tasks.values.filterNot { it.isTerminal }.sumOf { checks.spec(it.job).cores }
 
     private val loop = cluster.scope.launch {
         delay(1_000 + random.nextLong(4_000))
-        answeredMs = nowMs()
-        while (true) turn()
+        leaseRenewedMs = nowMs()
+        while (true) reportOnce()
     }
 
     fun hang(ms: Long) {
         hungUntilMs = nowMs() + ms
     }
 
-    fun end() {
+    fun terminate() {
         tasks.clear()
         loop.cancel()
     }
 
-    /** Tasks that are on this machine: they have their image and have not exited. */
-    fun holding(): Map<String, SimulatedTask> {
+    /** The tasks that run on this machine, by name: their image is fetched and they have not exited. */
+    fun runningTasks(): Map<String, SimulatedTask> {
         expire()
         return tasks.filterValues { it.state == TaskState.RUNNING }.entries
             .associate { (key, task) -> name(key) to SimulatedTask(task.job, task.attempt) }
     }
 
-    /** Tasks that it has not ended, with their image or without. */
-    fun shown(): Set<String> {
+    /** The names of the tasks that have not exited, also those that still fetch their image. */
+    fun activeTasks(): Set<String> {
         expire()
-        return tasks.filterValues { !it.isOver }.keys.mapTo(HashSet(), ::name)
+        return tasks.filterValues { !it.isTerminal }.keys.mapTo(HashSet(), ::name)
     }
 
     private fun name(key: String) = key.substringBeforeLast('#')
 
-    /** The lease runs out on a hanging machine too. */
+    /** Ends all tasks if the lease has expired; this also applies while the machine hangs. */
     private fun expire() {
-        if (nowMs() - answeredMs <= LEASE_S * 1000) return
+        if (nowMs() - leaseRenewedMs <= LEASE_S * 1000) return
         tasks.clear()
-        session++
-        answeredMs = nowMs()
+        epoch++
+        leaseRenewedMs = nowMs()
     }
 
     private fun advance() {
         if (nowMs() < hungUntilMs) return
         expire()
         for ((key, task) in tasks) {
-            if (nowMs() > task.doneMs) advance(name(key), task)
+            if (nowMs() > task.phaseEndsMs) advance(name(key), task)
         }
     }
 
     private fun advance(name: String, task: Task) {
-        val spec = rules.spec(task.job)
+        val spec = checks.spec(task.job)
         if (task.state == TaskState.FETCHING) {
-            rules.starting(this, name, spec)
+            checks.onTaskStart(this, name, spec)
             task.state = TaskState.RUNNING
-            task.doneMs = nowMs() + ((cluster.runS[name] ?: spec.estimateS) * 1000).toLong()
+            task.phaseEndsMs = nowMs() + ((cluster.taskRunS[name] ?: spec.estimateS) * 1000).toLong()
         } else if (task.state == TaskState.RUNNING) {
             task.state = TaskState.EXITED
             task.cause = ExitCause.DONE
-            if (rules.completed(name, spec)) cluster.onLastEnd(spec)
+            if (checks.onTaskCompleted(name, spec)) cluster.onJobCompleted(spec)
         }
     }
 
-    private suspend fun turn() {
+    private suspend fun reportOnce() {
         delay(500 + random.nextLong(600))
         if (nowMs() < hungUntilMs) return
         advance()
-        val shown = tasks.entries.map { (key, task) -> TaskStatus(name(key), task.attempt, task.state, task.cause) }
-        val report = Heartbeat(id, "x", "big", zone, spot, session, ++seq, token, null, shown)
+        val statuses = tasks.entries.map { (key, task) ->
+            TaskStatus(name(key), task.attempt, task.state, task.cause)
+        }
+        val report = Heartbeat(id, "x", "big", zone, spot, epoch, ++seq, token, null, statuses)
         val sent = nowMs()
         val response = send(WireJson.encodeToString(Heartbeat.serializer(), report).encodeToByteArray())
         if (nowMs() < hungUntilMs) delay(hungUntilMs - nowMs())
-        // Whatever comes later than this is dropped, also by a machine that hung meanwhile.
-        if (response?.status == 200 && nowMs() - sent <= ANSWER_MS) {
-            take(response, report, sent)
+        // An answer that arrives after the timeout is dropped, also if the machine hung meanwhile.
+        if (response?.status == 200 && nowMs() - sent <= REPORT_TIMEOUT_MS) {
+            applyResponse(response, report, sent)
         } else {
-            goOn(response)
+            selectNextNode(response)
         }
     }
 
-    /** The answer that comes back, if one does. */
+    /** Sends a report; returns the answer, or null if none arrives. */
     private suspend fun send(body: ByteArray): HttpResponse? {
         val to = node
-        if (random.nextDouble() < cluster.copies) sendCopy(to, body)
+        if (random.nextDouble() < cluster.duplicateReportShare) sendDuplicate(to, body)
         return when {
-            cluster.isHeld(zone, to) -> {
-                // Packets are held back and come in once the cut is over; nobody waits for the answer then.
+            cluster.isHeldBack(zone, to) -> {
+                // The report is delivered once the connection is restored; the worker does not receive its answer.
                 cluster.scope.launch {
-                    while (cluster.isHeld(zone, to)) delay(100)
+                    while (cluster.isHeldBack(zone, to)) delay(100)
                     report(to, body)
                 }
-                delay(ANSWER_MS)
+                delay(REPORT_TIMEOUT_MS)
                 null
             }
 
-            mute -> {
-                delay(ANSWER_MS)
+            outboundBlocked -> {
+                delay(REPORT_TIMEOUT_MS)
                 null
             }
 
-            unreached || random.nextDouble() < cluster.lostAnswers -> {
+            inboundBlocked || random.nextDouble() < cluster.lostReportAnswerShare -> {
                 report(to, body)
-                delay(random.nextLong(ANSWER_MS))
+                delay(random.nextLong(REPORT_TIMEOUT_MS))
                 null
             }
 
             else -> {
                 val response = report(to, body)
-                if (cluster.answerMs > 0) delay(random.nextLong(cluster.answerMs))
+                if (cluster.maxAnswerDelayMs > 0) delay(random.nextLong(cluster.maxAnswerDelayMs))
                 response
             }
         }
     }
 
-    private fun sendCopy(to: String, body: ByteArray) = cluster.scope.launch {
+    private fun sendDuplicate(to: String, body: ByteArray) = cluster.scope.launch {
         delay(1_000 + random.nextLong((LEASE_S * 2_500).toLong()))
         report(if (random.nextBoolean()) to else cluster.nodes.random(random), body)
     }
 
-    private suspend fun report(to: String, body: ByteArray) = cluster.ask(to, "POST", "/v1/report", body, ANSWER_MS)
+    private suspend fun report(to: String, body: ByteArray) =
+        cluster.sendRequest(to, "POST", "/v1/report", body, REPORT_TIMEOUT_MS)
 
-    private fun take(response: HttpResponse, report: Heartbeat, sent: Long) {
+    private fun applyResponse(response: HttpResponse, report: Heartbeat, sent: Long) {
         advance()
-        if (report.epoch != session) return
+        if (report.epoch != epoch) return
         val commands = WireJson.decodeFromString(HeartbeatResponse.serializer(), response.body.decodeToString())
         if (commands.fencingToken < token) return
         token = commands.fencingToken
-        answeredMs = sent
+        leaseRenewedMs = sent
         commands.commands.forEach(::execute)
     }
 
-    /** Turns to the node that it is sent to, or to the next. */
-    private suspend fun goOn(response: HttpResponse?) {
+    /** Switches to the node that the answer redirects to, or else to the next node. */
+    private suspend fun selectNextNode(response: HttpResponse?) {
         val other = response?.takeIf { it.status == 421 }
             ?.let { WireJson.decodeFromString(LeaderRedirect.serializer(), it.body.decodeToString()).leader }
         if (other == null || other == node) delay(1_000)
@@ -196,21 +202,21 @@
         when (command.op) {
             CommandOperation.START -> if (task == null) tasks[key] = start(command)
 
-            CommandOperation.HALT -> if (task != null && !task.isOver) {
+            CommandOperation.HALT -> if (task != null && !task.isTerminal) {
                 task.state = TaskState.EXITED
                 task.cause = ExitCause.STOPPED
             }
 
-            CommandOperation.FORGET -> if (task?.isOver == true) tasks.remove(key)
+            CommandOperation.FORGET -> if (task?.isTerminal == true) tasks.remove(key)
         }
     }
 
     private fun start(command: HeartbeatCommand): Task {
         val job = command.task.substringBefore('/')
         val cause = when {
-            tasks.any { name(it.key) == command.task && !it.value.isOver } -> ExitCause.BUSY
-            rules.spec(job).cores > freeCores -> ExitCause.NO_ROOM
-            faulty -> ExitCause.ERROR
+            tasks.any { name(it.key) == command.task && !it.value.isTerminal } -> ExitCause.BUSY
+            checks.spec(job).cores > freeCores -> ExitCause.NO_ROOM
+            failsTasks -> ExitCause.ERROR
             else -> null
         }
         val state = if (cause == null) TaskState.FETCHING else TaskState.EXITED
@@ -219,7 +225,7 @@
 
     private companion object {
         const val CORES = 8.0
-        const val ANSWER_MS = 4_000L
+        const val REPORT_TIMEOUT_MS = 4_000L
         const val FETCH_MS = 500L
     }
 }
--- a/src/test/kotlin/io/otterknot/testing/StoreFixture.kt
+++ b/src/test/kotlin/io/otterknot/testing/StoreFixture.kt
@@ -19,7 +19,7 @@
 import kotlinx.coroutines.test.currentTime
 import kotlin.random.Random
 
-/** A state service on virtual time, and one node's way to it; the node may make [changesPerS] changes a second. */
+/** A state service on virtual time, with client and replica of node `n`, which may write [changesPerS] changes/s. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class StoreFixture(
     scope: TestScope,
@@ -32,7 +32,7 @@
     val client = KeyValueStoreClient(transport(state), state.link("n"), budget, Metrics(now))
     val replica = StoreReplica(client, Random(1), now, pauseMs = 20)
 
-    /** What the replica says of jobs, from now on. */
+    /** Returns a job table that follows the changes of [replica] from now on. */
     fun readJobs(): JobTable {
         val jobs = JobTable()
         replica.onChange = { key, entry ->
@@ -43,15 +43,15 @@
     }
 }
 
-/** The replica now shows [record] under the job's key. */
+/** Sets the job's snapshot to [record] at [version], as if the replica had read it. */
 fun Job.applyRecord(record: JobRecord, version: Long = 1) {
     snapshot = Snapshot(StoreKeys.job(id), record, version)
 }
 
-/** A job of [tasks] small tasks that run for a second. */
+/** A job of [tasks] one-core tasks that run for one second. */
 fun smallJob(id: String, tasks: Int = 1) =
     JobSpec(id, "k", "red", Priority.HIGH, tasks, 1.0, memoryGb = 1.0, image = "i", imageGb = 1.0, estimateS = 1.0)
 
-/** Stores [record] under the key of the job [id]. */
+/** The change that stores [record] under the key of the job [id]. */
 fun jobChange(id: String, record: JobRecord) =
     KeyChange(put = StoreKeys.job(id), value = encodeRecord(JobRecord.serializer(), record))
--- a/src/test/kotlin/io/otterknot/testing/TestPartitions.kt
+++ b/src/test/kotlin/io/otterknot/testing/TestPartitions.kt
@@ -10,12 +10,12 @@
 import io.otterknot.wire.MachineType
 import kotlin.random.Random
 
-/** A team that may use all there is. */
+/** A team whose quota is never reached. */
 fun unlimitedTeam(name: String, weight: Double = 1.0) = TeamQuota(name, weight, QuotaAmount(1e9, 0.0))
 
 /**
- * A partition acquired at 0 ms with workers' leases of ten seconds, whose steady clock is the time of day too.
- * [registeredMachines]: by id with the names of their types.
+ * A partition acquired at 0 ms, with worker leases of ten seconds and a wall clock that equals its monotonic clock.
+ * [registeredMachines] maps machine ids to the names of their types.
  */
 fun testPartition(
     teamQuotas: List<TeamQuota>,
