--- a/src/test/kotlin/io/otterknot/cluster/CombinedFailureTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/CombinedFailureTest.kt
@@ -114,11 +114,11 @@
             ) {
                 // Judged by its lease renewals alone the node would keep serving workers without seeing cancellations.
                 submitLongJobs()
-                state.watchless = "holt-a"
+                state.stalledWatchNode = "holt-a"
                 delay(300)
                 cancelRunning(6)
                 delay(50_000)
-                state.watchless = null
+                state.stalledWatchNode = null
             },
             ClusterScenario(
                 "a node loses its lease and acquires another while its watch is stalled",
@@ -126,14 +126,14 @@
                 defaultWorkload = false,
             ) {
                 submitLongJobs()
-                state.watchless = "holt-a"
+                state.stalledWatchNode = "holt-a"
                 cancelRunning(4)
                 crash("holt-b")
                 crash("holt-c")
                 delay(45_000)
                 startNode("holt-b")
                 startNode("holt-c")
-                state.watchless = null
+                state.stalledWatchNode = null
             },
             ClusterScenario("answers to workers are delayed for seconds, and machines hang and resume") {
                 maxAnswerDelayMs = 5_500
--- a/src/test/kotlin/io/otterknot/cluster/DependencyScenarioTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/DependencyScenarioTest.kt
@@ -82,7 +82,7 @@
 
         private fun SimulatedCluster.enforceLoweredLimits() {
             state.maxValueBytes = 2_048
-            state.maxOps = 6
+            state.maxTransactionChanges = 6
             state.maxWritesPerS = 40.0
         }
 
@@ -98,7 +98,7 @@
             ClusterScenario("unannounced limits set in $moment the upgrade", seeds = 1) {
                 fun lower() {
                     state.maxValueBytes = 1_100
-                    state.maxOps = 3
+                    state.maxTransactionChanges = 3
                 }
                 previousVersionNodes.addAll(nodes)
                 nodes.forEach(::restart)
--- a/src/test/kotlin/io/otterknot/store/StoreReplicaTest.kt
+++ b/src/test/kotlin/io/otterknot/store/StoreReplicaTest.kt
@@ -88,11 +88,11 @@
         val first = async { replica.awaitReadBarrier(5_000) }
         delay(100)
         // Nothing of this is shown by the watch before the first barrier is through.
-        fixture.state.watchless = "n"
+        fixture.state.stalledWatchNode = "n"
         fixture.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(7)))
         val second = async { replica.awaitReadBarrier(5_000) to replica["o/x/a"]?.value }
         assertTrue(first.await())
-        fixture.state.watchless = null
+        fixture.state.stalledWatchNode = null
         assertEquals(true to JsonPrimitive(7), second.await())
         background.forEach { it.cancel() }
     }
@@ -132,10 +132,10 @@
         val replica = fixture.replica
         val background = listOf(launch { replica.followWatch() }, launch { replica.serveReadBarriers() })
         replica.awaitLoaded()
-        fixture.state.watchless = "n"
+        fixture.state.stalledWatchNode = "n"
         fixture.state.store(KeyChange(put = "o/x/a", value = JsonPrimitive(1)))
         assertFalse(replica.awaitReadBarrier(5_000))
-        fixture.state.watchless = null
+        fixture.state.stalledWatchNode = null
         assertTrue(replica.awaitReadBarrier(5_000))
         assertEquals(JsonPrimitive(1), replica["o/x/a"]?.value)
         background.forEach { it.cancel() }
--- a/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
+++ b/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
@@ -53,7 +53,7 @@
         val follower = launch { bench.replica.followWatch() }
         bench.replica.awaitLoaded()
         bench.state.maxValueBytes = 1_500
-        bench.state.maxOps = 3
+        bench.state.maxTransactionChanges = 3
         val writer =
             BatchWriter(bench.client, bench.replica, Random(1), WriteLimits(8_192, 40)) { testScheduler.currentTime }
         val small = (1..9).map { PendingWrite("o/d/a/$it", value(100)) }
--- a/src/test/kotlin/io/otterknot/testing/FakeKeyValueStore.kt
+++ b/src/test/kotlin/io/otterknot/testing/FakeKeyValueStore.kt
@@ -37,7 +37,7 @@
     var refusedNode: String? = null
 
     /** The node whose watches, open and new, return nothing while its other requests are answered; or null. */
-    var watchless: String? = null
+    var stalledWatchNode: String? = null
 
     /** Share of transactions whose answer is lost; half of these are applied up to 8 s later, the others never. */
     var lostTransactionShare = 0.0
@@ -79,7 +79,7 @@
     var maxValueBytes = Int.MAX_VALUE
 
     /** The most changes of a transaction; a larger transaction gets 400. */
-    var maxOps = Int.MAX_VALUE
+    var maxTransactionChanges = Int.MAX_VALUE
 
     /** The most changes per second; a transaction that exceeds the rate gets 429. */
     var maxWritesPerS = Double.MAX_VALUE
@@ -91,7 +91,7 @@
 
     private fun refusal(txn: TransactionRequest): Reply? {
         val large = txn.changes.filter { it.value.toString().length > maxValueBytes }.map { it.key }
-        if (large.isNotEmpty() || txn.changes.size > maxOps) {
+        if (large.isNotEmpty() || txn.changes.size > maxTransactionChanges) {
             rejectedForSize.add("${txn.changes.size} changes, values over the size limit: $large")
             return answer(400, """{"error":"transaction too large"}""")
         }
@@ -222,7 +222,7 @@
         while (true) {
             expire()
             if (log.size > keptChanges && log[log.size - keptChanges].version!! > after + 1) return answer(410, "{}")
-            val stalled = unavailable || refusedNode == node || watchless == node
+            val stalled = unavailable || refusedNode == node || stalledWatchNode == node
             val events = if (stalled) emptyList() else log.filter { it.version!! > after && it.key.startsWith(under) }
             if (events.isNotEmpty() || (nowMs() >= until && !stalled)) {
                 return answer(200, WireJson.encodeToString(WatchEvents.serializer(), WatchEvents(revision, events)))
--- a/src/test/kotlin/io/otterknot/testing/RandomFault.kt
+++ b/src/test/kotlin/io/otterknot/testing/RandomFault.kt
@@ -66,8 +66,8 @@
             RandomFault("the watch of a node stalls") { random ->
                 temporarily(
                     random,
-                    { state.watchless = nodes.random(random) },
-                    { state.watchless = null },
+                    { state.stalledWatchNode = nodes.random(random) },
+                    { state.stalledWatchNode = null },
                 )
             },
             RandomFault("watches expire and need full reads in small pages") { random ->
@@ -117,8 +117,8 @@
             RandomFault("transactions are rejected by the size limit") { random ->
                 temporarily(
                     random,
-                    { state.maxOps = 1 + random.nextInt(3) },
-                    { state.maxOps = Int.MAX_VALUE },
+                    { state.maxTransactionChanges = 1 + random.nextInt(3) },
+                    { state.maxTransactionChanges = Int.MAX_VALUE },
                 )
             },
             RandomFault("answers to workers are lost") { random ->
