--- a/src/test/kotlin/io/otterknot/cluster/CombinedFailureTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/CombinedFailureTest.kt
@@ -68,7 +68,7 @@
 
         private fun teamAtLimitCases() = listOf(200L, 1_500L, 4_000L).map { gapMs ->
             ClusterScenario(
-                "a team at its limit: leaders restart $gapMs ms after cancellations, some machines are unreachable",
+                "a team at its limit: controllers restart $gapMs ms after cancellations, some machines get no answers",
                 teamLimit = 16.0,
                 seeds = 2,
                 defaultWorkload = false,
--- a/src/test/kotlin/io/otterknot/cluster/DependencyScenarioTest.kt
+++ b/src/test/kotlin/io/otterknot/cluster/DependencyScenarioTest.kt
@@ -203,7 +203,7 @@
                 delay(5_000)
             },
             ClusterScenario(
-                "a leader that lost its workers acts until its fence ends while its dependent jobs become ready",
+                "a leader acts until its fence ends after its partition was acquired from it, while jobs become ready",
                 defaultWorkload = false,
             ) {
                 pipelines(4, 800)
