--- a/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
+++ b/src/test/kotlin/io/otterknot/store/WriteLimitsTest.kt
@@ -58,7 +58,7 @@
         val background = launch { fixture.replica.followWatch() }
         fixture.replica.awaitLoaded()
         fixture.state.maxValueBytes = 1_500
-        fixture.state.maxOps = 3
+        fixture.state.maxTransactionChanges = 3
         val writer = BatchWriter(fixture.client, fixture.replica, Random(1), WriteLimits(8_192, 40)) {
             testScheduler.currentTime
         }
