--- a/src/main/kotlin/io/otterknot/api/JobRequestOutcome.kt
+++ b/src/main/kotlin/io/otterknot/api/JobRequestOutcome.kt
@@ -33,7 +33,8 @@
     MACHINE_TYPES_UNKNOWN("the machine types are not known yet"),
     JOB_NOT_LOADED("the job exists, but its state has not been read from the state service yet"),
     CANCELLATION_ATTEMPTS_EXHAUSTED(
-        "the job was not cancelled: it changed during the attempts, or the state service refused their size",
+        "the cancellation is not confirmed: the job changed during the attempts, or the state service refused their " +
+            "size or did not answer",
     ),
     RATE_LIMITED("the rate limit on changes to the state service is reached"),
     STORE_UNREACHABLE("the state service is away"),
--- a/src/main/kotlin/io/otterknot/config/SettingsFile.kt
+++ b/src/main/kotlin/io/otterknot/config/SettingsFile.kt
@@ -87,24 +87,24 @@
 
     private fun checkStore(store: StoreSettings) {
         val next = store.next
-        requireValid(store.rps > 0, "facts.state.rps", store.rps) { "above 0" }
-        requireValid(next.rps == null || next.rps > 0, "facts.state.next.rps", next.rps) { "above 0" }
-        requireValid(store.writeRps > 0, "facts.state.write_rps", store.writeRps) { "above 0" }
-        requireValid(next.writeRps == null || next.writeRps > 0, "facts.state.next.write_rps", next.writeRps) {
-            "above 0"
-        }
-        requireValid(store.txnOps >= MIN_TRANSACTION_CHANGES, "facts.state.txn_ops", store.txnOps) {
-            "at least $MIN_TRANSACTION_CHANGES"
-        }
-        requireValid(
-            next.txnOps == null || next.txnOps >= MIN_TRANSACTION_CHANGES,
-            "facts.state.next.txn_ops",
-            next.txnOps,
-        ) { "at least $MIN_TRANSACTION_CHANGES" }
-        requireValid(store.valueKb >= 1, "facts.state.value_kb", store.valueKb) { "at least 1.0" }
-        requireValid(next.valueKb == null || next.valueKb >= 1, "facts.state.next.value_kb", next.valueKb) {
-            "at least 1.0"
+        requireLimit("rps", store.rps, next.rps, "above 0") { it > 0 }
+        requireLimit("write_rps", store.writeRps, next.writeRps, "above 0") { it > 0 }
+        requireLimit("txn_ops", store.txnOps, next.txnOps, "at least $MIN_TRANSACTION_CHANGES") {
+            it >= MIN_TRANSACTION_CHANGES
         }
+        requireLimit("value_kb", store.valueKb, next.valueKb, "at least 1.0") { it >= 1 }
+    }
+
+    /** Checks a limit of the key-value store: the [present] value, and the announced [next] one if there is one. */
+    private inline fun <T : Any> requireLimit(
+        name: String,
+        present: T,
+        next: T?,
+        allowed: String,
+        isValid: (T) -> Boolean,
+    ) {
+        requireValid(isValid(present), "facts.state.$name", present) { allowed }
+        requireValid(next == null || isValid(next), "facts.state.next.$name", next) { allowed }
     }
 
     /** Inline, so that the message of a valid setting is never built. */
